--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -30,8 +30,8 @@
 }
 
 // Do carries a call out. Status 0 means that the outcome is not known.
-func (c *Client) Do(ctx context.Context, call core.AgentCall) core.AgentDone {
-	done := core.AgentDone{Call: call.Call}
+func (c *Client) Do(ctx context.Context, call core.AgentCall) core.AgentResult {
+	done := core.AgentResult{CallID: call.CallID}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	b, err := json.Marshal(wireCommands{call.Epoch, call.Session, call.Orders})
@@ -45,7 +45,7 @@
 	// Each copy of a command must be known to the core.
 	req.GetBody = nil
 	// Entitlement is checked last: the processor may have been away.
-	if c.Now() >= call.Until {
+	if c.Now() >= call.SendBefore {
 		return done
 	}
 	resp, err := c.HTTP.Do(req)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -44,12 +44,12 @@
 		{502, `trouble`, 0}, // not the worker's own words
 	} {
 		addr, sent := worker(t, c.status, c.answer)
-		d := client(0).Do(context.Background(), core.AgentCall{Call: 3, Endpoint: addr, Epoch: 41, Session: 2, Until: time.Second,
+		d := client(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
 			Orders: []model.Order{{Verb: model.Start, Task: "req-000412/4", Attempt: 2}}})
 		if want := `POST /commands {"epoch":41,"tenure":2,"orders":[{"verb":"start","piece":"req-000412/4","try":2}]}`; *sent != want {
 			t.Errorf("sent %s\nwant %s", *sent, want)
 		}
-		if d.Status != c.want || d.Call != 3 || (d.Report != nil) != (c.want != 0) {
+		if d.Status != c.want || d.CallID != 3 || (d.Report != nil) != (c.want != 0) {
 			t.Errorf("%d %s: got %+v", c.status, c.answer, d)
 		}
 	}
@@ -59,7 +59,7 @@
 // between the decision and the sending.
 func TestNothingIsSentWithoutEntitlement(t *testing.T) {
 	addr, sent := worker(t, 200, `{}`)
-	if d := client(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, Until: time.Second}); d.Status != 0 || *sent != "" {
+	if d := client(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, SendBefore: time.Second}); d.Status != 0 || *sent != "" {
 		t.Errorf("sent %q", *sent)
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -81,18 +81,18 @@
 		return
 	}
 	wall := time.Now().UnixMilli()
-	ask(w, e.node, submitWait, func(req uint64) core.Event { return core.Submit{Req: req, Job: *job, Wall: wall} })
+	ask(w, e.node, submitWait, func(req uint64) core.Event { return core.Submit{RequestID: req, Job: *job, WallMs: wall} })
 }
 
 func (e *edge) poll(w http.ResponseWriter, r *http.Request) {
 	if id, ok := jobID(w, r); ok {
-		ask(w, e.node, pollWait, func(req uint64) core.Event { return core.Poll{Req: req, ID: id} })
+		ask(w, e.node, pollWait, func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} })
 	}
 }
 
 func (e *edge) withdraw(w http.ResponseWriter, r *http.Request) {
 	if id, ok := jobID(w, r); ok {
-		ask(w, e.node, submitWait, func(req uint64) core.Event { return core.Withdraw{Req: req, ID: id} })
+		ask(w, e.node, submitWait, func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} })
 	}
 }
 
@@ -110,11 +110,11 @@
 	if e.node.Crowded() {
 		w.Header().Set("Connection", "close")
 	}
-	ask(refusals{w}, e.node, reportWait, func(req uint64) core.Event { return core.ReportIn{Req: req, Report: report} })
+	ask(refusals{w}, e.node, reportWait, func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: report} })
 }
 
 func (e *edge) up(w http.ResponseWriter, _ *http.Request) {
-	ask(w, e.node, pollWait, func(req uint64) core.Event { return core.Up{Req: req} })
+	ask(w, e.node, pollWait, func(req uint64) core.Event { return core.HealthCheck{RequestID: req} })
 }
 
 // jobID is the job that a path names. One that no job can have is answered 404.
@@ -213,7 +213,7 @@
 		send(w, 500, core.Problem{Error: "reply not encodable"}, 0)
 		return
 	}
-	if r.Until != 0 && n.Now() >= r.Until {
+	if r.SendBefore != 0 && n.Now() >= r.SendBefore {
 		// The entitlement behind the answer ended while it waited here.
 		send(w, 503, core.Problem{Error: "no longer leading"}, 0)
 		return
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -184,7 +184,7 @@
 // TestLateAnswerIsHeldBack: an answer that waited for the processor past the
 // leader's entitlement must not renew a worker's lease.
 func TestLateAnswerIsHeldBack(t *testing.T) {
-	f := &fake{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, Until: time.Second}, ok: true, now: time.Second}
+	f := &fake{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, SendBefore: time.Second}, ok: true, now: time.Second}
 	if w := serve(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 503 {
 		t.Errorf("got %d after the entitlement ended", w.Code)
 	}
@@ -207,7 +207,7 @@
 			t.Errorf("report lost %s: %s", part, got)
 		}
 	}
-	if f.last.(core.ReportIn).Report.Seq != 88 || http.StatusOK != w.Code {
+	if f.last.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
 		t.Error(fmt.Sprint(f.last))
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -38,10 +38,10 @@
 }
 
 // Do carries a call out.
-func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudDone {
+func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	done := core.CloudDone{Call: call.Call}
+	done := core.CloudResult{CallID: call.CallID}
 	var err error
 	switch call.Op {
 	case core.CloudTypes:
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	c := s.Core(1)
-	if c.SkipLimit != 7 || c.IdleReturn != 3 || c.WriteEvery != 2*time.Second {
+	if c.SkipLimit != 7 || c.IdleBoots != 3 || c.BitmapWriteInterval != 2*time.Second {
 		t.Errorf("operator's settings: %+v", c.Tuning)
 	}
 	if s.Budget != 100*time.Millisecond || c.Lease != 20*time.Second || c.Teams["t"].Limit.CPUs != 4 || len(c.Peers) != 1 {
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -12,15 +12,15 @@
 func (s *Settings) Core(boot uint64) core.Config {
 	p := &s.Params
 	c := core.Config{
-		Self: s.Name, Boot: boot, Teams: map[string]core.Team{},
-		ReportEvery: seconds(p.Workers.ReportS), Lease: seconds(p.Workers.LeaseS), CancelIn: seconds(p.Workers.CancelS),
-		Skew:     seconds(p.SkewMS / 1000),
-		StoreRPS: p.State.RPS, StoreWrites: p.State.WriteRPS,
-		ValueBytes: int(p.State.ValueKB * 1024), TxnOps: p.State.TxnOps,
-		GangWait: seconds(p.Workers.GangWaitS), GangPeer: seconds(p.Workers.GangPeerS),
+		Self: s.Name, Incarnation: boot, Teams: map[string]core.Team{},
+		ReportInterval: seconds(p.Workers.ReportS), Lease: seconds(p.Workers.LeaseS), CancelWithin: seconds(p.Workers.CancelS),
+		MaxClockSkew: seconds(p.SkewMS / 1000),
+		StoreRPS:     p.State.RPS, StoreWriteRPS: p.State.WriteRPS,
+		MaxValueBytes: int(p.State.ValueKB * 1024), MaxTxnOps: p.State.TxnOps,
+		GangWaitTimeout: seconds(p.Workers.GangWaitS), GangPeerTimeout: seconds(p.Workers.GangPeerS),
 		Version:  core.NewestVersion,
 		CloudRPS: p.Cloud.RPS, ListLag: seconds(p.Cloud.ListLagS),
-		Directs: s.Sockets().Direct, Requests: s.Sockets().Public,
+		MaxDirectCommands: s.Sockets().Direct, MaxRequests: s.Sockets().Public,
 		Tuning: s.Tuning, Goals: map[string]core.Goal{},
 	}
 	s.keepToNextLimits(&c)
@@ -40,8 +40,8 @@
 // Warnings are what the service can't promise with these settings.
 func (s *Settings) Warnings() []string {
 	c := s.Core(0)
-	if bound := c.CancelBound(); len(c.Peers) > 0 && bound > c.CancelIn {
-		return []string{fmt.Sprintf("facts.workers.cancel_s: %v is less than the %v that tasks of a cancelled job may take to be gone under failures: at least six fifths of lease_s are needed", c.CancelIn, bound)}
+	if bound := c.CancelBound(); len(c.Peers) > 0 && bound > c.CancelWithin {
+		return []string{fmt.Sprintf("facts.workers.cancel_s: %v is less than the %v that tasks of a cancelled job may take to be gone under failures: at least six fifths of lease_s are needed", c.CancelWithin, bound)}
 	}
 	return nil
 }
@@ -52,13 +52,13 @@
 func (s *Settings) keepToNextLimits(c *core.Config) {
 	next := &s.Params.State.Next
 	if next.WriteRPS > 0 {
-		c.StoreWrites = min(c.StoreWrites, next.WriteRPS)
+		c.StoreWriteRPS = min(c.StoreWriteRPS, next.WriteRPS)
 	}
 	if next.ValueKB > 0 {
-		c.ValueBytes = min(c.ValueBytes, int(next.ValueKB*1024))
+		c.MaxValueBytes = min(c.MaxValueBytes, int(next.ValueKB*1024))
 	}
 	if next.TxnOps > 0 {
-		c.TxnOps = min(c.TxnOps, next.TxnOps)
+		c.MaxTxnOps = min(c.MaxTxnOps, next.TxnOps)
 	}
 }
 
@@ -70,11 +70,11 @@
 		within := seconds(o.WithinS)
 		switch {
 		case o.Kind == "wait" && within > 0:
-			g.Start = within
-		case o.Kind == "finished" && within > 0 && (g.Finish == 0 || within < g.Finish):
-			g.Finish = within
-		case o.Kind == "deadline" && o.Times > 0 && (g.Due == 0 || o.Times < g.Due):
-			g.Due = o.Times
+			g.StartWithin = within
+		case o.Kind == "finished" && within > 0 && (g.FinishWithin == 0 || within < g.FinishWithin):
+			g.FinishWithin = within
+		case o.Kind == "deadline" && o.Times > 0 && (g.DueFactor == 0 || o.Times < g.DueFactor):
+			g.DueFactor = o.Times
 		}
 		c.Goals[o.Class] = g
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -109,13 +109,13 @@
 	}
 	if d := o.State; d != nil {
 		list = append(list,
-			setting[float64]{"state.write_every_s", d.WriteEveryS, shortestWriteS, longestWriteS, func(v float64) { t.WriteEvery = seconds(v) }}.apply,
+			setting[float64]{"state.write_every_s", d.WriteEveryS, shortestWriteS, longestWriteS, func(v float64) { t.BitmapWriteInterval = seconds(v) }}.apply,
 		)
 	}
 	if f := o.Fleet; f != nil {
 		list = append(list,
-			setting[float64]{"fleet.idle_boots", f.IdleBoots, 0, mostBoots, func(v float64) { t.IdleReturn = v }}.apply,
-			setting[float64]{"fleet.give_up_boots", f.GiveUpBoots, 1, mostBoots, func(v float64) { t.GiveUpBoot = v }}.apply,
+			setting[float64]{"fleet.idle_boots", f.IdleBoots, 0, mostBoots, func(v float64) { t.IdleBoots = v }}.apply,
+			setting[float64]{"fleet.give_up_boots", f.GiveUpBoots, 1, mostBoots, func(v float64) { t.GiveUpBoots = v }}.apply,
 			setting[float64]{"fleet.patience", f.Patience, 0, 1, func(v float64) { t.Patience = v }}.apply,
 			setting[int]{"fleet.spare_services", f.SpareServices, 0, mostCount, func(v int) { t.SpareServices = v }}.apply,
 			setting[int]{"fleet.spare_gangs", f.SpareGangs, 0, mostCount, func(v int) { t.SpareGangs = v }}.apply,
--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -94,16 +94,16 @@
 	if s.now < s.bitmapsAt {
 		return
 	}
-	s.bitmapsAt = s.now + s.cfg.WriteEvery/8
-	for _, id := range ordered(s.active) {
+	s.bitmapsAt = s.now + s.cfg.BitmapWriteInterval/8
+	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.doneCount == j.Tasks {
 			s.finishJob(j)
 			continue
 		}
-		for _, n := range ordered(j.chunks) {
+		for _, n := range sortedKeys(j.chunks) {
 			c := j.chunks[n]
-			if !c.dirty || c.writing || s.now < c.at+s.cfg.WriteEvery {
+			if !c.dirty || c.writing || s.now < c.at+s.cfg.BitmapWriteInterval {
 				continue
 			}
 			s.writeChunk(j, n, c)
@@ -126,7 +126,7 @@
 	// A value holds so many bytes; the first part has the form that all versions
 	// read, and the others are written once all know them. Until then what they
 	// would hold isn't durable, so that workers keep it.
-	most := (s.cfg.ValueBytes - 64) * 3 / 4
+	most := (s.cfg.MaxValueBytes - 64) * 3 / 4
 	last := max(len(b)-1, 0) / most * most
 	if s.clusterVersion < versionGangs && last > 0 {
 		if slices.ContainsFunc(c.durable[most/8:], func(w uint64) bool { return w != 0 }) {
@@ -137,18 +137,18 @@
 	}
 	for from := last; from >= 0; from -= most { // the first last: what it sheds stands by then
 		part := b[from:min(from+most, len(b))]
-		key := dirProgress + j.ID + "/" + strconv.Itoa(n)
+		key := prefixProgress + j.ID + "/" + strconv.Itoa(n)
 		if from > 0 {
 			key += "." + strconv.Itoa(from/most)
 		}
 		c.open++
-		s.put(&write{
-			change:   Change{Key: key, Value: raw(bitmapValue{base64.StdEncoding.EncodeToString(part), from})},
-			leader:   s.leadership.Term,
-			deadline: s.now + time.Hour,
-			class:    classBitmap,
+		s.queueWrite(&write{
+			change:     Change{Key: key, Value: mustMarshal(bitmapValue{base64.StdEncoding.EncodeToString(part), from})},
+			leaderTerm: s.leadership.Term,
+			deadline:   s.now + time.Hour,
+			class:      classBitmap,
 			// Written after the job's end it would stay for ever.
-			moot: func() bool { return j.final() || j.finishing },
+			isObsolete: func() bool { return j.final() || j.finishing },
 			done: func(r outcome) {
 				c.open--
 				c.writing = c.open > 0
--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -54,7 +54,7 @@
 		return // the first reading brings those of all time
 	}
 	if s.watchCancellation(j, revision) != nil {
-		s.log(slog.LevelInfo, "cancellation learnt", "job", j.ID, "rev", revision, "read_age", s.now-s.readAt, "leading", s.Leading())
+		s.log(slog.LevelInfo, "cancellation learnt", "job", j.ID, "rev", revision, "read_age", s.now-s.completeReadAt, "leading", s.IsLeader())
 	}
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	c.confirmed = true
-	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.overAt, "leading", s.Leading())
+	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.overAt, "leading", s.IsLeader())
 }
 
 // stopsSent notes the stops among the orders that a machine is sent.
@@ -106,7 +106,7 @@
 	}
 	l := s.leadership
 	s.debug("lease renewed", "host", m.host, "session", r.Session, "seq", r.Seq, "adopted", m.adopted, "orders", orders, "epoch", s.epoch(m),
-		"until", l.Until(), "key_until", l.KeyUntil(), "view_until", l.Current(), "now", s.now)
+		"until", l.ValidUntil(), "key_until", l.KeyValidUntil(), "view_until", l.ViewValidUntil(), "now", s.now)
 }
 
 // debug logs a line that is worth its cost only while an operator asks for it.
@@ -122,13 +122,13 @@
 	if s.now < s.reviewAt {
 		return
 	}
-	s.reviewAt = s.now + s.cfg.ReportEvery
+	s.reviewAt = s.now + s.cfg.ReportInterval
 	shown := s.jobsOfOrphans()
 	var oldest *cancellation
 	outstanding := 0
-	for _, id := range ordered(s.watched) {
+	for _, id := range sortedKeys(s.watched) {
 		c := s.watched[id]
-		if s.Leading() && (len(c.job.tasks) > 0 || shown[id]) {
+		if s.IsLeader() && (len(c.job.tasks) > 0 || shown[id]) {
 			outstanding++
 			if oldest == nil || c.job.overAt < oldest.job.overAt {
 				oldest = c
@@ -141,10 +141,10 @@
 		return
 	}
 	level, known := slog.LevelInfo, s.now-oldest.job.overAt
-	if float64(known) >= cancellationWarning*float64(s.cfg.CancelIn) {
+	if float64(known) >= cancellationWarning*float64(s.cfg.CancelWithin) {
 		level = slog.LevelWarn
 	}
-	s.log(level, "cancelled tasks outstanding", "jobs", outstanding, "oldest", oldest.job.ID, "known_for", known, "allowed", s.cfg.CancelIn,
+	s.log(level, "cancelled tasks outstanding", "jobs", outstanding, "oldest", oldest.job.ID, "known_for", known, "allowed", s.cfg.CancelWithin,
 		"stops", oldest.stops, "term", s.leadership.Term)
 }
 
@@ -153,13 +153,13 @@
 func (s *State) endCancellationWatch(id string, c *cancellation) {
 	over := s.now - c.job.overAt
 	switch {
-	case s.Leading() && s.settled:
+	case s.IsLeader() && s.settled:
 		delete(s.watched, id)
 		if c.stops > 0 {
 			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", over, "stops", c.stops,
 				"first_stop_after", c.firstStopAt-c.job.overAt, "last_stop_after", c.lastStopAt-c.job.overAt, "term", s.leadership.Term)
 		}
-	case over > s.cfg.CancelIn:
+	case over > s.cfg.CancelWithin:
 		delete(s.watched, id)
 	}
 }
@@ -168,7 +168,7 @@
 // them.
 func (s *State) jobsOfOrphans() map[string]bool {
 	jobs := map[string]bool{}
-	for _, m := range s.orphaned {
+	for _, m := range s.machinesWithOrphans {
 		for task := range m.orphans {
 			id, _, _ := model.SplitTask(task)
 			jobs[id] = true
--- a/internal/core/cancellation_watch_test.go
+++ b/internal/core/cancellation_watch_test.go
@@ -25,15 +25,15 @@
 // cancelled, whose task a machine still shows.
 func leaderWithCancelledTask() (*State, *job) {
 	s := alone()
-	s.loaded, s.hasTouch, s.ready, s.settled = true, true, true, true
+	s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
 	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
 	spec := &model.Job{ID: "req-000001", Team: "t", Tasks: 1, Kind: model.Service}
-	s.apply(Item{Key: dirJobs + spec.ID, Value: raw(jobValue{Spec: spec}), Stamp: 5})
+	s.apply(Item{Key: prefixJobs + spec.ID, Value: mustMarshal(jobValue{Spec: spec}), ModRevision: 5})
 	m := s.machine("n-1")
 	m.session, m.adopted = 1, true
 	s.piece(m, model.TaskReport{Task: "req-000001/0", Attempt: 7, State: model.TaskRunning}, &model.Report{Session: 1})
 	s.now = 10 * time.Second
-	s.apply(Item{Key: dirJobs + spec.ID, Value: raw(jobValue{Phase: model.PhaseAborted}), Stamp: 6})
+	s.apply(Item{Key: prefixJobs + spec.ID, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 	return s, s.jobs[spec.ID]
 }
 
@@ -41,32 +41,32 @@
 // are still to be seen after half of the time allowed, and says when they are gone.
 func TestCancellationLog(t *testing.T) {
 	s, j := leaderWithCancelledTask()
-	if logLines(s.out, slog.LevelInfo, "cancellation learnt") != 1 {
-		t.Errorf("not learnt: %v", s.out)
+	if logLines(s.effects, slog.LevelInfo, "cancellation learnt") != 1 {
+		t.Errorf("not learnt: %v", s.effects)
 	}
 	for range 2 {
-		s.tell(origin{req: 1}, j)
+		s.tell(requester{requestID: 1}, j)
 	}
-	if n := logLines(s.out, slog.LevelInfo, "cancellation confirmed"); n != 1 {
+	if n := logLines(s.effects, slog.LevelInfo, "cancellation confirmed"); n != 1 {
 		t.Errorf("confirmed %d times, want one line", n)
 	}
 	for _, c := range []struct {
 		at    time.Duration
 		level slog.Level
 	}{{12 * time.Second, slog.LevelInfo}, {24900 * time.Millisecond, slog.LevelInfo}, {26400 * time.Millisecond, slog.LevelWarn}} {
-		s.now, s.out = c.at, nil
+		s.now, s.effects = c.at, nil
 		s.reviewCancellations()
 		s.reviewCancellations() // once a report interval
-		if n := logLines(s.out, c.level, "cancelled tasks outstanding"); n != 1 {
-			t.Errorf("at %v: %d lines of level %v, want 1: %v", c.at, n, c.level, s.out)
+		if n := logLines(s.effects, c.level, "cancelled tasks outstanding"); n != 1 {
+			t.Errorf("at %v: %d lines of level %v, want 1: %v", c.at, n, c.level, s.effects)
 		}
 	}
 	s.stopsSent(s.machines["n-1"], []model.Order{j.tasks[0].killOrder()}, "answer")
 	s.unbind(j.tasks[0], model.CauseStopped)
-	s.now, s.out = 28*time.Second, nil
+	s.now, s.effects = 28*time.Second, nil
 	s.reviewCancellations()
-	if logLines(s.out, slog.LevelInfo, "cancelled tasks gone") != 1 || len(s.watched) != 0 {
-		t.Errorf("%d cancellations still watched after the last task was gone: %v", len(s.watched), s.out)
+	if logLines(s.effects, slog.LevelInfo, "cancelled tasks gone") != 1 || len(s.watched) != 0 {
+		t.Errorf("%d cancellations still watched after the last task was gone: %v", len(s.watched), s.effects)
 	}
 }
 
@@ -76,13 +76,13 @@
 	s := alone()
 	s.loaded = true
 	for i := range maxWatchedCancellations + 50 {
-		key := fmt.Sprintf("%sreq-%06d", dirJobs, i)
-		s.apply(Item{Key: key, Value: raw(jobValue{Phase: model.PhaseAborted}), Stamp: uint64(i + 1)})
+		key := fmt.Sprintf("%sreq-%06d", prefixJobs, i)
+		s.apply(Item{Key: key, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: uint64(i + 1)})
 	}
 	if len(s.watched) != maxWatchedCancellations {
 		t.Errorf("%d cancellations watched, want %d", len(s.watched), maxWatchedCancellations)
 	}
-	s.now = s.cfg.CancelIn + time.Second
+	s.now = s.cfg.CancelWithin + time.Second
 	s.reviewCancellations()
 	if len(s.watched) != 0 {
 		t.Errorf("%d cancellations watched after the time allowed by a controller that doesn't lead", len(s.watched))
@@ -93,10 +93,10 @@
 func TestDebugLogIsOff(t *testing.T) {
 	for _, wanted := range []bool{false, true} {
 		s, j := leaderWithCancelledTask()
-		s.cfg.DebugLog, s.out = wanted, nil
+		s.cfg.DebugLog, s.effects = wanted, nil
 		m := s.machines["n-1"]
 		s.renewLease(pendingReport{m: m, r: &model.Report{}}, []model.Order{j.tasks[0].killOrder()})
-		got := logLines(s.out, slog.LevelDebug, "lease renewed") + logLines(s.out, slog.LevelDebug, "stop of a cancelled task sent")
+		got := logLines(s.effects, slog.LevelDebug, "lease renewed") + logLines(s.effects, slog.LevelDebug, "stop of a cancelled task sent")
 		if (got == 2) != wanted || !wanted && got != 0 {
 			t.Errorf("debug lines wanted: %v, got %d", wanted, got)
 		}
--- a/internal/core/cancels.go
+++ b/internal/core/cancels.go
@@ -26,7 +26,7 @@
 
 // untold is a user who asked about a job that is cancelled.
 type untold struct {
-	from  origin
+	from  requester
 	job   *job
 	until time.Duration
 }
@@ -36,8 +36,8 @@
 // stay in reserve. With hardly more time than a lease to cancel in, it is what a
 // leader needs to be one at all.
 func staleness(cfg Config) time.Duration {
-	spare := cfg.CancelIn - cfg.Lease
-	return max(spare-spare/16-time.Duration(float64(cfg.CancelIn)*4*Drift), promise(cfg))
+	spare := cfg.CancelWithin - cfg.Lease
+	return max(spare-spare/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
 }
 
 // CancelBound is how long after its user was told tasks of a cancelled job may be there
@@ -46,7 +46,7 @@
 // drift), and the last lease runs on, by the worker's. Whoever knows of it renews no
 // lease without the stop (renewLease). docs/design.md has the sum term by term.
 func (c Config) CancelBound() time.Duration {
-	drift := time.Duration(float64(c.Lease) * 2 * Drift)
+	drift := time.Duration(float64(c.Lease) * 2 * ClockDrift)
 	return staleness(c) + c.Lease + drift
 }
 
@@ -56,9 +56,9 @@
 
 // hasRead notes that this copy is complete as of sent.
 func (s *State) hasRead(sent time.Duration) {
-	s.readAt = max(s.readAt, sent)
+	s.completeReadAt = max(s.completeReadAt, sent)
 	if s.leadership != nil {
-		s.leadership.Read(sent)
+		s.leadership.RecordRead(sent)
 	}
 }
 
@@ -77,11 +77,11 @@
 // are well above what passes between two reads on an ordinary day: leased then,
 // cancellations would wait for a leader that has just ended.
 func (s *State) leaseRead(requestVotes PeerMsg, reply *PeerMsg) {
-	if !requestVotes.Read || s.storeAge() < s.ecf.Staleness/8 || len(s.unshared) > mostUnshared {
+	if !requestVotes.Read || s.sinceStoreContact() < s.electionConfig.MaxStaleness/8 || len(s.unshared) > mostUnshared {
 		return
 	}
-	s.voter.GrantRead(s.now, requestVotes.Term)
-	reply.Read, reply.Loaded, reply.Age, reply.Counts = true, s.loaded, s.now-s.born, s.cancelled()
+	s.voter.GrantReadLease(s.now, requestVotes.Term)
+	reply.Read, reply.Loaded, reply.Age, reply.Counts = true, s.loaded, s.now-s.startedAt, s.cancelled()
 }
 
 // cancelled lists what the leader may not know of.
@@ -99,18 +99,18 @@
 		return
 	}
 	s.learn(from, m.Counts)
-	age := m.Age - time.Duration(float64(m.Age)*2*Drift)
-	s.leadership.LeasedRead(from, m.Sent, s.now-age, m.Loaded)
+	age := m.Age - time.Duration(float64(m.Age)*2*ClockDrift)
+	s.leadership.RecordReadLease(from, m.Sent, s.now-age, m.Loaded)
 }
 
 // learn takes cancellations from another controller. They are durable, and a
 // leader acknowledges them.
 func (s *State) learn(from string, list map[string]int) {
-	for _, id := range ordered(list) {
-		s.apply(Item{Key: dirJobs + id, Value: raw(jobValue{Phase: model.PhaseAborted}), Stamp: uint64(list[id])})
+	for _, id := range sortedKeys(list) {
+		s.apply(Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: uint64(list[id])})
 	}
-	if len(list) > 0 && s.Leading() {
-		s.emit(PeerOut{from, PeerMsg{Kind: MsgKnown, Term: s.leadership.Term, Counts: list}})
+	if len(list) > 0 && s.IsLeader() {
+		s.emit(PeerOut{from, PeerMsg{Kind: MsgCancelledAck, Term: s.leadership.Term, Counts: list}})
 	}
 }
 
@@ -130,19 +130,19 @@
 // mayTell says whether a user may be told that j is cancelled.
 func (s *State) mayTell(j *job) bool {
 	_, unshared := s.unshared[j.ID]
-	return !unshared || j.phase != model.PhaseAborted || s.Leading() || !s.voter.ReadLeased(s.now, s.term)
+	return !unshared || j.phase != model.PhaseAborted || s.IsLeader() || !s.voter.HasReadLease(s.now, s.term)
 }
 
 // tell answers with a job's state. Of a cancellation nobody is told before the
 // leader knows of it, where it relies on that; it is asked, and after a moment
 // without its word the user is told to come back.
-func (s *State) tell(o origin, j *job) {
+func (s *State) tell(o requester, j *job) {
 	if s.mayTell(j) {
 		s.cancellationConfirmed(j)
 		s.answer(o, 200, s.status(j), 0)
 		return
 	}
-	if len(s.untold) >= s.cfg.Requests {
+	if len(s.untold) >= s.cfg.MaxRequests {
 		s.later(o, "too many requests under way")
 		return
 	}
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -37,11 +37,11 @@
 }
 
 // cloud sends a call to the cloud, within its rate; false: not now.
-func (s *State) cloud(c CloudCall, done func(CloudDone)) bool {
-	if !s.cloudRate.AllowN(s.at(), 1) {
+func (s *State) cloud(c CloudCall, done func(CloudResult)) bool {
+	if !s.cloudRate.AllowN(s.limiterTime(), 1) {
 		return false
 	}
-	c.Call = s.call(func(r any) { done(r.(CloudDone)) })
+	c.CallID = s.registerCall(func(r any) { done(r.(CloudResult)) })
 	s.emit(c)
 	return true
 }
@@ -49,27 +49,27 @@
 // pumpTypes learns the machine types: from the state service, or from the
 // cloud where nobody has written them down yet. The leader keeps prices new.
 func (s *State) pumpTypes() {
-	if s.now < s.typesAt {
+	if s.now < s.nextTypesReadAt {
 		return
 	}
-	if len(s.types) > 0 && !s.Leading() {
-		s.typesAt = s.now + 5*time.Second
+	if len(s.types) > 0 && !s.IsLeader() {
+		s.nextTypesReadAt = s.now + 5*time.Second
 		return
 	}
 	if !s.loaded {
 		return
 	}
-	s.typesAt = s.now + 3*time.Second
-	s.cloud(CloudCall{Op: CloudTypes}, func(d CloudDone) {
+	s.nextTypesReadAt = s.now + 3*time.Second
+	s.cloud(CloudCall{Op: CloudTypes}, func(d CloudResult) {
 		if d.Status != 200 || len(d.Types) == 0 {
 			return
 		}
-		s.typesAt = s.now + 30*time.Second
+		s.nextTypesReadAt = s.now + 30*time.Second
 		changed := s.setTypes(d.Types)
-		if s.stamp(keyTypes) != 0 && !changed || len(raw(d.Types)) > s.cfg.ValueBytes {
+		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(d.Types)) > s.cfg.MaxValueBytes {
 			return // or too long to be kept: each controller asks the cloud itself
 		}
-		s.put(&write{change: Change{Key: keyTypes, Value: raw(d.Types)}, class: classRoster, deadline: s.now + userWait, done: func(outcome) {}})
+		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(d.Types)}, class: classRegistry, deadline: s.now + userWait, done: func(outcome) {}})
 	})
 }
 
@@ -120,10 +120,10 @@
 func (s *State) list(after string) {
 	s.listing = true
 	leadership := s.leadership
-	for _, host := range ordered(s.returned) {
+	for _, host := range sortedKeys(s.returned) {
 		s.recentlyReturned(host) // forgets those of long ago
 	}
-	ok := s.cloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(d CloudDone) {
+	ok := s.cloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(d CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -21,7 +21,7 @@
 // (Config.Directs). A quarter is kept for starts and stops: when hundreds of
 // machines fall silent at once, each question holds its socket until it is
 // given up.
-func (s *State) mayProbe() bool { return s.directs < max(1, s.cfg.Directs*3/4) }
+func (s *State) mayProbe() bool { return s.directs < max(1, s.cfg.MaxDirectCommands*3/4) }
 
 func (s *State) epoch(m *machine) uint64 { return s.epochBase() | m.fence }
 
@@ -36,17 +36,17 @@
 // reachOut sends direct commands: to machines not heard of in this term, and
 // where tasks wait to be started or stopped.
 func (s *State) reachOut() {
-	if !s.Leading() {
+	if !s.IsLeader() {
 		return
 	}
 	first := s.reachFrom
-	for i := range s.order {
-		at := (first + i) % len(s.order)
-		m := s.order[at]
+	for i := range s.machinesByName {
+		at := (first + i) % len(s.machinesByName)
+		m := s.machinesByName[at]
 		if m.direct || m.endpoint == "" || m.returning {
 			continue
 		}
-		if s.directs >= s.cfg.Directs {
+		if s.directs >= s.cfg.MaxDirectCommands {
 			return
 		}
 		// Whoever is left over when the sockets are used up has its turn next:
@@ -59,7 +59,7 @@
 		case m.proof != nil && s.mayProbe():
 			s.command(m, nil, nil)
 		case s.now < m.directAt:
-		case m.unsent && m.adopted && s.now-m.heard <= 2*s.cfg.ReportEvery:
+		case m.unsent && m.adopted && s.now-m.heard <= 2*s.cfg.ReportInterval:
 			s.flush(m)
 		case s.mayProbe() && s.wantsProbe(m):
 			s.command(m, nil, nil)
@@ -70,14 +70,14 @@
 // wantsProbe says whether m is to be asked whether it is there.
 func (s *State) wantsProbe(m *machine) bool {
 	switch {
-	case m.silentSince != 0 && s.directs >= s.cfg.Directs/4:
+	case m.silentSince != 0 && s.directs >= s.cfg.MaxDirectCommands/4:
 		return false // a zone that is cut off must not take all the turns
 	case !m.adopted:
 		// Once it has reported in this term, its next report shows the
 		// epoch, at once.
-		return m.rostered && !m.lapsed && (m.answeredEpoch == 0 || s.now-m.heard > s.cfg.ReportEvery)
+		return m.rostered && !m.lapsed && (m.answeredEpoch == 0 || s.now-m.heard > s.cfg.ReportInterval)
 	}
-	return s.now-m.heard > 2*s.cfg.ReportEvery || m.reach.lost && m.seen < m.reach.epoch
+	return s.now-m.heard > 2*s.cfg.ReportInterval || m.reach.lost && m.seen < m.reach.epoch
 }
 
 // flush sends m's unsent starts and stops directly.
@@ -124,9 +124,9 @@
 		orders = []model.Order{}
 	}
 	s.stopsSent(m, orders, "command")
-	c := AgentCall{Host: m.host, Endpoint: m.endpoint, Epoch: epoch, Session: m.session, Orders: orders, Until: leadership.Until()}
-	c.Call = s.call(func(res any) {
-		d := res.(AgentDone)
+	c := AgentCall{Host: m.host, Endpoint: m.endpoint, Epoch: epoch, Session: m.session, Orders: orders, SendBefore: leadership.ValidUntil()}
+	c.CallID = s.registerCall(func(res any) {
+		d := res.(AgentResult)
 		if s.leadership != leadership {
 			return
 		}
@@ -151,12 +151,12 @@
 			s.report(m, r, false)
 		}
 		if d.Status == 409 {
-			m.directAt = s.now + s.cfg.ReportEvery/4
+			m.directAt = s.now + s.cfg.ReportInterval/4
 			if !m.adopted {
 				m.directAt = s.now // the session is known now: ask again
 			}
 		}
-		if s.Leading() && !m.direct && s.now >= m.directAt {
+		if s.IsLeader() && !m.direct && s.now >= m.directAt {
 			s.flush(m)
 		}
 	})
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -15,21 +15,21 @@
 // the outside by hand.
 func alone() *State {
 	return New(Config{
-		Self: "n0", Boot: 1, Teams: map[string]Team{"t": {}},
-		ReportEvery: 1500 * time.Millisecond, Lease: 10 * time.Second, CancelIn: 30 * time.Second,
-		StoreRPS: 150, StoreWrites: 50, ValueBytes: 32 << 10, TxnOps: 12, CloudRPS: 6, ListLag: 5 * time.Second,
-		Directs: 64, Requests: 800,
+		Self: "n0", Incarnation: 1, Teams: map[string]Team{"t": {}},
+		ReportInterval: 1500 * time.Millisecond, Lease: 10 * time.Second, CancelWithin: 30 * time.Second,
+		StoreRPS: 150, StoreWriteRPS: 50, MaxValueBytes: 32 << 10, MaxTxnOps: 12, CloudRPS: 6, ListLag: 5 * time.Second,
+		MaxDirectCommands: 64, MaxRequests: 800,
 		Tuning: DefaultTuning(),
 	}, 0)
 }
 
 // newLeadership makes s, which has no peers, the leader of term 4 until further notice.
 func newLeadership(s *State) *election.Leadership {
-	s.term, s.termStamp, s.electedAt = 4, 4, 1
-	t := election.NewLeadership(s.ecf, 0, 4, 0)
-	t.Promised(0, "n0", 0)
-	t.Elected(0, 0)
-	t.Renewed(0, time.Hour)
+	s.term, s.termModRevision, s.electedAt = 4, 4, 1
+	t := election.NewLeadership(s.electionConfig, 0, 4, 0)
+	t.RecordPromise(0, "n0", 0)
+	t.ConfirmElection(0, 0)
+	t.RecordRenewal(0, time.Hour)
 	return t
 }
 
@@ -47,17 +47,17 @@
 func TestRemovedKeysAreForgotten(t *testing.T) {
 	s := alone()
 	c, _ := storeCall(s.Step(0, Tick{}), StoreList)
-	s.Step(time.Millisecond, StoreDone{Call: c.Call, Status: 200, Rev: 4, Items: []Item{{Key: dirMachine + "n-1", Value: []byte(`{}`), Stamp: 3}}})
+	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 4, Items: []Item{{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3}}})
 	w, _ := storeCall(s.Step(time.Second, Tick{}), StoreWatch)
-	gone := Item{Key: dirMachine + "n-1", Stamp: 5, Removed: true}
-	s.Step(time.Second+time.Millisecond, StoreDone{Call: w.Call, Status: 200, Rev: 5, Items: []Item{gone}})
-	s.apply(Item{Key: dirMachine + "n-1", Value: []byte(`{}`), Stamp: 3})
-	if s.stamp(dirMachine+"n-1") != 0 || s.machines["n-1"] != nil {
+	gone := Item{Key: prefixMachines + "n-1", ModRevision: 5, Removed: true}
+	s.Step(time.Second+time.Millisecond, StoreResult{CallID: w.CallID, Status: 200, Revision: 5, Items: []Item{gone}})
+	s.apply(Item{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3})
+	if s.modRevision(prefixMachines+"n-1") != 0 || s.machines["n-1"] != nil {
 		t.Error("old news brought a removed key back")
 	}
 	s.Step(2*time.Second, Tick{})
-	if len(s.stamps) != 0 || len(s.removed) != 0 {
-		t.Errorf("still kept: %v %v", s.stamps, s.removed)
+	if len(s.modRevisions) != 0 || len(s.removed) != 0 {
+		t.Errorf("still kept: %v %v", s.modRevisions, s.removed)
 	}
 }
 
@@ -70,10 +70,10 @@
 	if !ok {
 		t.Fatal("nothing is read at the start")
 	}
-	s.Step(time.Millisecond, StoreDone{Call: c.Call, Status: 200, Rev: 0})
+	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 0})
 	w, ok := storeCall(s.Step(time.Second, Tick{}), StoreWatch)
-	if !ok || w.After != 0 {
-		t.Errorf("watch after %d (asked: %v), want 0", w.After, ok)
+	if !ok || w.AfterRevision != 0 {
+		t.Errorf("watch after %d (asked: %v), want 0", w.AfterRevision, ok)
 	}
 }
 
@@ -94,22 +94,22 @@
 		for i := range n {
 			s.apply(item(i))
 		}
-		s.out = nil
+		s.effects = nil
 		each := (heap() - before) / n
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(c)
 		return each
 	}
 	machine := grows(func(i int) Item {
-		v := rosterValue{Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200), Type: "small", Zone: "a"}
-		return Item{Key: fmt.Sprintf("%s%d", dirPage, i+1), Value: raw(map[string]rosterValue{fmt.Sprintf("n-%06d", i): v}), Stamp: uint64(i + 1)}
+		v := machineRecord{Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200), Type: "small", Zone: "a"}
+		return Item{Key: fmt.Sprintf("%s%d", prefixPages, i+1), Value: mustMarshal(map[string]machineRecord{fmt.Sprintf("n-%06d", i): v}), ModRevision: uint64(i + 1)}
 	})
 	job := grows(func(i int) Item {
 		id := fmt.Sprintf("req-%06d", i)
-		return Item{Key: dirJobs + id, Value: raw(jobValue{Spec: &model.Job{ID: id, Team: "t", Class: "c", Kind: model.Batch, Priority: model.Low, Tasks: 40, Image: "img"}}), Stamp: uint64(i + 1)}
+		return Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Spec: &model.Job{ID: id, Team: "t", Class: "c", Kind: model.Batch, Priority: model.Low, Tasks: 40, Image: "img"}}), ModRevision: uint64(i + 1)}
 	})
 	over := grows(func(i int) Item {
-		return Item{Key: fmt.Sprintf("%sreq-%06d", dirJobs, i), Value: raw(jobValue{Phase: model.PhaseDone, Tasks: 40}), Stamp: uint64(i + 1)}
+		return Item{Key: fmt.Sprintf("%sreq-%06d", prefixJobs, i), Value: mustMarshal(jobValue{Phase: model.PhaseDone, Tasks: 40}), ModRevision: uint64(i + 1)}
 	})
 	t.Logf("bytes of the heap: a machine %.0f, a job %.0f, an outcome %.0f", machine, job, over)
 	if machine > 2048 || job > 2048 || over > 1024 {
@@ -134,20 +134,20 @@
 		cfg := alone().cfg
 		cfg.Peers = []string{"n1", "n2"}
 		s := New(cfg, 0)
-		s.loaded, s.hasTouch, s.contact = true, true, 20*time.Second
-		s.unreached, s.leaderGone = true, 20*time.Second
+		s.loaded, s.hasContact, s.lastContactAt = true, true, 20*time.Second
+		s.steppedDownUnreached, s.leaderKeyGoneAt = true, 20*time.Second
 		return s
 	}
 	s := fresh()
 	if claims(s, 20*time.Second+time.Second) {
 		t.Error("it ran at once")
 	}
-	s.contact = 23 * time.Second
+	s.lastContactAt = 23 * time.Second
 	if !claims(s, 23*time.Second) {
 		t.Error("it does not run though nobody else has for a quarter of the lease")
 	}
 	s = fresh()
-	s.Step(20*time.Second, ReportIn{Req: 1})
+	s.Step(20*time.Second, WorkerReport{RequestID: 1})
 	if !claims(s, 20*time.Second+time.Second) {
 		t.Error("a worker has come, and it does not run")
 	}
@@ -161,13 +161,13 @@
 	cfg.Peers = []string{"n1", "n2"}
 	runs := func(entitlementLostAt time.Duration) time.Duration {
 		s := New(cfg, 0)
-		s.loaded, s.hasTouch, s.entitlementLostAt = true, true, entitlementLostAt
-		s.leaderGone = 20 * time.Second
-		for at := s.leaderGone; at < 30*time.Second; at += 50 * time.Millisecond {
-			s.contact = at
+		s.loaded, s.hasContact, s.leadershipExpiredAt = true, true, entitlementLostAt
+		s.leaderKeyGoneAt = 20 * time.Second
+		for at := s.leaderKeyGoneAt; at < 30*time.Second; at += 50 * time.Millisecond {
+			s.lastContactAt = at
 			for _, e := range s.Step(at, Tick{}) {
 				if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgVoteRequest {
-					return at - s.leaderGone
+					return at - s.leaderKeyGoneAt
 				}
 			}
 		}
@@ -194,8 +194,8 @@
 		cfg := alone().cfg
 		cfg.Self, cfg.Peers = "n0", []string{"n1", "n2"}
 		s := New(cfg, 0)
-		s.loaded, s.hasTouch = true, true
-		s.term, s.termStamp, s.termNode = 4, 40, holder
+		s.loaded, s.hasContact = true, true
+		s.term, s.termModRevision, s.termWinner = 4, 40, holder
 		s.campaignAt = time.Hour
 		return s
 	}
@@ -219,12 +219,12 @@
 		t.Error("it supports a candidate though n2 may lead by a promise of its earlier life")
 	}
 	s := asleep("n2")
-	s.Step(50*time.Millisecond, PeerIn{From: "n2", Msg: PeerMsg{Kind: MsgFree, Ask: s.cfg.Boot}})
+	s.Step(50*time.Millisecond, PeerIn{From: "n2", Msg: PeerMsg{Kind: MsgPromisesReleased, Ask: s.cfg.Incarnation}})
 	if !granted(s, 40) {
 		t.Error("n2 has said that it counts on nothing, and it sleeps on")
 	}
 	s = asleep("n2")
-	s.Step(50*time.Millisecond, PeerIn{From: "n1", Msg: PeerMsg{Kind: MsgFree, Ask: s.cfg.Boot}})
+	s.Step(50*time.Millisecond, PeerIn{From: "n1", Msg: PeerMsg{Kind: MsgPromisesReleased, Ask: s.cfg.Incarnation}})
 	if granted(s, 40) {
 		t.Error("it took n1's word for n2's")
 	}
@@ -239,14 +239,14 @@
 // is in the next transaction.
 func TestUsersGoFirst(t *testing.T) {
 	s := alone()
-	s.loaded, s.hasTouch = true, true
+	s.loaded, s.hasContact = true, true
 	for i := range 40 {
-		s.put(&write{change: Change{Key: dirPage + string(rune('a'+i)), Value: raw(i)}, class: classBitmap, deadline: time.Hour, done: func(outcome) {}})
+		s.queueWrite(&write{change: Change{Key: prefixPages + string(rune('a'+i)), Value: mustMarshal(i)}, class: classBitmap, deadline: time.Hour, done: func(outcome) {}})
 	}
-	s.put(&write{change: Change{Key: dirJobs + "req-000001", Value: raw(1)}, deadline: time.Hour, done: func(outcome) {}})
+	s.queueWrite(&write{change: Change{Key: prefixJobs + "req-000001", Value: mustMarshal(1)}, deadline: time.Hour, done: func(outcome) {}})
 	c, ok := storeCall(s.Step(time.Second, Tick{}), StoreTxn)
-	if !ok || c.Then[0].Key != dirJobs+"req-000001" {
-		t.Errorf("the first transaction (%v) begins with %+v", ok, c.Then)
+	if !ok || c.Changes[0].Key != prefixJobs+"req-000001" {
+		t.Errorf("the first transaction (%v) begins with %+v", ok, c.Changes)
 	}
 }
 
@@ -255,41 +255,41 @@
 // the same numbers as those of now, its clock showed another time.
 func TestLateMessagesOfAnEarlierLife(t *testing.T) {
 	cfg := alone().cfg
-	cfg.Self, cfg.Peers, cfg.Boot = "n0", []string{"n1", "n2"}, 7
+	cfg.Self, cfg.Peers, cfg.Incarnation = "n0", []string{"n1", "n2"}, 7
 	from := func(name string, m PeerMsg) PeerIn { return PeerIn{From: name, Msg: m} }
 
 	s := New(cfg, 0)
-	s.voter.Wake()
-	s.leadership = election.NewLeadership(s.ecf, time.Second, 5, 0)
+	s.voter.EndStartupWait()
+	s.leadership = election.NewLeadership(s.electionConfig, time.Second, 5, 0)
 	s.campaignAt = time.Hour
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgPromise, Ask: 6, Term: 5, Sent: 5 * time.Minute, Granted: true}))
-	if s.leadership.Supported(time.Second) {
+	if s.leadership.HasMajority(time.Second) {
 		t.Error("a promise to an earlier life is counted")
 	}
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgPromise, Ask: 7, Term: 5, Sent: time.Second, Granted: true}))
-	if !s.leadership.Supported(time.Second) {
+	if !s.leadership.HasMajority(time.Second) {
 		t.Error("a promise to this life is not counted")
 	}
 
 	s = New(cfg, 0)
-	s.voter.Wake()
+	s.voter.EndStartupWait()
 	s.campaignAt = time.Hour
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgVoteRequest, Ask: 21, Term: 5, StoreOK: true}))
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgRelease, Ask: 20, Term: 5}))
-	if _, bound := s.voter.Bound(time.Second); !bound {
+	if _, bound := s.voter.PromisedTo(time.Second); !bound {
 		t.Error("the end of an earlier life's candidacy frees the promise to this one")
 	}
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgRelease, Ask: 21, Term: 5}))
-	if _, bound := s.voter.Bound(time.Second); bound {
+	if _, bound := s.voter.PromisedTo(time.Second); bound {
 		t.Error("the end of the candidacy does not free the promise")
 	}
 
 	ask := func(boot uint64) uint64 {
-		cfg.Boot = boot
+		cfg.Incarnation = boot
 		s = New(cfg, 0)
-		s.peers["n1"].storeOK, s.peers["n1"].heard = true, time.Second
-		for _, e := range s.Step(time.Second, Poll{Req: 1, ID: "req-000001"}) {
-			if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgAsk {
+		s.peers["n1"].reachesStore, s.peers["n1"].heardAt = true, time.Second
+		for _, e := range s.Step(time.Second, Poll{RequestID: 1, ID: "req-000001"}) {
+			if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgForward {
 				return p.Msg.Ask
 			}
 		}
@@ -298,7 +298,7 @@
 	}
 	old := ask(7)
 	ask(8)
-	for _, e := range s.Step(time.Second, from("n1", PeerMsg{Kind: MsgAnswer, Ask: old, Status: 200, Value: []byte("{}")})) {
+	for _, e := range s.Step(time.Second, from("n1", PeerMsg{Kind: MsgForwardReply, Ask: old, Status: 200, Value: []byte("{}")})) {
 		if r, ok := e.(Reply); ok {
 			t.Errorf("the answer to an earlier life's question answers this one's: %+v", r)
 		}
@@ -317,14 +317,14 @@
 		{3500 * time.Millisecond, 5250 * time.Millisecond},
 	} {
 		cfg := alone().cfg
-		cfg.ReportEvery, cfg.Lease, cfg.Skew = c.report, 6*c.report, time.Second
+		cfg.ReportInterval, cfg.Lease, cfg.MaxClockSkew = c.report, 6*c.report, time.Second
 		s := New(cfg, 0)
-		s.leadership, s.pages = election.NewLeadership(s.ecf, 0, 1, 0), map[int]*page{}
+		s.leadership, s.pages = election.NewLeadership(s.electionConfig, 0, 1, 0), map[int]*registryPage{}
 		m := s.machine("n-000001")
 		m.page, m.rostered = 1, true
 		marked := func(at time.Duration) bool {
-			s.now, s.silenceAt = at, 0
-			s.recordSilence()
+			s.now, s.nextUnresponsiveCheckAt = at, 0
+			s.markUnresponsiveMachines()
 			return m.silentSince != 0
 		}
 		if marked(c.want - time.Millisecond) {
@@ -340,14 +340,14 @@
 // is given up is refused when it comes, not when its time is over.
 func TestSwampedNodeSaysSoAtOnce(t *testing.T) {
 	s := alone()
-	s.loaded, s.hasTouch, s.contact = true, true, time.Second
+	s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 	s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	s.typeList = []model.MachineType{*s.types["small"]}
-	s.writing = true // the last transaction is still under way
+	s.txnInFlight = true // the last transaction is still under way
 	taken := 0
 	for i := range 500 {
 		j := model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Kind: model.Batch, Tasks: 1, CPUs: 1, MemoryGB: 1}
-		for _, e := range s.Step(time.Second, Submit{Req: uint64(i), Job: j}) {
+		for _, e := range s.Step(time.Second, Submit{RequestID: uint64(i), Job: j}) {
 			if r, ok := e.(Reply); ok {
 				if r.Status != 503 || r.RetryAfter < 1 {
 					t.Fatalf("answered %+v", r)
@@ -370,30 +370,30 @@
 func TestOnlyAKeyThatIsSetCounts(t *testing.T) {
 	for _, status := range []int{0, 409, 503} {
 		s := alone()
-		s.loaded, s.hasTouch = true, true
-		s.leadership = election.NewLeadership(s.ecf, 0, 4, 0)
-		s.term, s.termStamp, s.leaseID, s.electedAt, s.ready = 4, 40, 7, 1, true
-		s.leadership.Promised(0, "n0", 0)
-		s.leadership.Elected(0, 0)
-		s.leadership.KeyLost()
+		s.loaded, s.hasContact = true, true
+		s.leadership = election.NewLeadership(s.electionConfig, 0, 4, 0)
+		s.term, s.termModRevision, s.leaseID, s.electedAt, s.caughtUp = 4, 40, 7, 1, true
+		s.leadership.RecordPromise(0, "n0", 0)
+		s.leadership.ConfirmElection(0, 0)
+		s.leadership.RecordKeyLoss()
 		s.recreateKey()
-		answer := func(op StoreOp, d StoreDone) {
+		answer := func(op StoreOp, d StoreResult) {
 			t.Helper()
-			c, ok := storeCall(s.out, op)
+			c, ok := storeCall(s.effects, op)
 			if !ok {
 				t.Fatalf("status %d: no call of %s", status, op)
 			}
-			d.Call = c.Call
-			s.out = nil
-			s.done(c.Call, d)
+			d.CallID = c.CallID
+			s.effects = nil
+			s.completeCall(c.CallID, d)
 		}
-		answer(StoreLease, StoreDone{Status: 200, Lease: 9})
-		answer(StoreTxn, StoreDone{Status: status})
+		answer(StoreLease, StoreResult{Status: 200, Lease: 9})
+		answer(StoreTxn, StoreResult{Status: status})
 		s.renewKey()
-		if c, _ := storeCall(s.out, StoreRenew); c.Lease != 7 {
+		if c, _ := storeCall(s.effects, StoreRenew); c.Lease != 7 {
 			t.Errorf("status %d: lease %d is kept up, though no key hangs on it", status, c.Lease)
 		}
-		if s.leadership.KeyUntil() != 0 {
+		if s.leadership.KeyValidUntil() != 0 {
 			t.Errorf("status %d: the key counts though it isn't set", status)
 		}
 	}
@@ -404,7 +404,7 @@
 // others with room.
 func TestBackoffEnds(t *testing.T) {
 	s := alone()
-	s.cfg.ReportEvery, s.cfg.Lease = 6*time.Second, 31*time.Second
+	s.cfg.ReportInterval, s.cfg.Lease = 6*time.Second, 31*time.Second
 	for n, want := range map[int]time.Duration{1: 6, 2: 12, 3: 24, 4: 31, 40: 31} {
 		if got := s.backoff(n); got != want*time.Second {
 			t.Errorf("after %d failures: %v, want %v s", n, got, int(want))
@@ -447,9 +447,9 @@
 // attempt has ended would take another start of it for a repeat.
 func TestGangAttempts(t *testing.T) {
 	s := alone()
-	s.loaded, s.hasTouch, s.ready = true, true, true
+	s.loaded, s.hasContact, s.caughtUp = true, true, true
 	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
-	s.apply(Item{Key: dirJobs + "req-000001", Value: raw(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Gang}}), Stamp: 5})
+	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Gang}}), ModRevision: 5})
 	j := s.jobs["req-000001"]
 	shows := func(host string, index int, attempt uint64, state, cause string) *machine {
 		m := s.machine(host)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -38,7 +38,7 @@
 	if s.now < j.retryAt {
 		return false
 	}
-	if s.settled || j.arrival > s.electedRev {
+	if s.settled || j.arrival > s.electedRevision {
 		return true
 	}
 	// A task of an older job that no machine has shown may still be
@@ -65,10 +65,10 @@
 	}
 	// A round that took long is followed by as much time for everything else:
 	// reports and renewals must not starve behind decisions.
-	s.nextRound = s.now + env.elapsed() + max(s.cfg.ReportEvery/roundsPerReport, env.elapsed())
+	s.nextRound = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
 	s.answerReports()
 	for _, m := range env.touched {
-		if s.directs >= s.cfg.Directs {
+		if s.directs >= s.cfg.MaxDirectCommands {
 			break // the rest with the next reports and ticks: sockets are few
 		}
 		if !m.direct && s.now >= m.directAt && m.adopted && m.endpoint != "" {
@@ -88,7 +88,7 @@
 		entries[i] = j.entry
 	}
 	env.views = s.views[:0]
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if s.usable(m) {
 			s.refreshView(m)
 			env.views = append(env.views, &m.view)
@@ -126,7 +126,7 @@
 	}
 	s.makeRoom(queue, env)
 	if s.now >= s.drainAt {
-		s.drainAt = s.now + s.cfg.ReportEvery/4
+		s.drainAt = s.now + s.cfg.ReportInterval/4
 		s.drainFor(queue, env)
 	}
 }
@@ -136,7 +136,7 @@
 func (s *State) queueView() []*job {
 	if !s.settled {
 		s.unaccountedFor = s.unaccountedFor[:0]
-		for _, m := range s.order {
+		for _, m := range s.machinesByName {
 			if s.unaccounted(m) {
 				s.unaccountedFor = append(s.unaccountedFor, m)
 			}
@@ -224,6 +224,6 @@
 		counts[id] = j.liveTasks()
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgCounts, Counts: counts}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgRunningCounts, Counts: counts}})
 	}
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -25,7 +25,7 @@
 		}
 		if m := s.soonestRoom(j, env); m != nil {
 			left--
-			m.reservedFor, m.draining, m.reservedUntil = j, true, s.now+s.cfg.ReportEvery
+			m.reservedFor, m.draining, m.reservedUntil = j, true, s.now+s.cfg.ReportInterval
 		}
 	}
 }
@@ -44,7 +44,7 @@
 			m.reservedFor = nil // placed elsewhere, or over
 		case s.now < m.reservedUntil && !begun[j] && v.Capacity.Fits(j.entry.Need):
 			begun[j] = true // stay with it
-			m.reservedUntil = s.now + s.cfg.ReportEvery
+			m.reservedUntil = s.now + s.cfg.ReportInterval
 		}
 	}
 	return begun
--- a/internal/core/outside.go
+++ b/internal/core/externalcalls.go
@@ -21,7 +21,7 @@
 
 // CloudCall is a call to the cloud.
 type CloudCall struct {
-	Call    uint64
+	CallID  uint64
 	Op      CloudOp
 	Request string // rent: its name, never reused
 	Type    string
@@ -33,9 +33,9 @@
 	Limit   int
 }
 
-// CloudDone ends a CloudCall.
-type CloudDone struct {
-	Call   uint64
+// CloudResult ends a CloudCall.
+type CloudResult struct {
+	CallID uint64
 	Status int
 	Err    string
 	Types  []model.MachineType
@@ -46,18 +46,18 @@
 
 // AgentCall is a direct command to a worker.
 type AgentCall struct {
-	Call     uint64
-	Host     string
-	Endpoint string
-	Epoch    uint64
-	Session  uint64
-	Orders   []model.Order
-	Until    time.Duration // not sent at or after this time
+	CallID     uint64
+	Host       string
+	Endpoint   string
+	Epoch      uint64
+	Session    uint64
+	Orders     []model.Order
+	SendBefore time.Duration // not sent at or after this time
 }
 
-// AgentDone ends an AgentCall.
-type AgentDone struct {
-	Call   uint64
+// AgentResult ends an AgentCall.
+type AgentResult struct {
+	CallID uint64
 	Status int
 	Report *model.Report
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -50,7 +50,7 @@
 // that takes a lost one's place must have its image before the first of the
 // others gives up.
 func (s *State) gangHasTime(j *job) bool {
-	return j.gang.gatheringSince == 0 || s.now+s.longestFetch(j)+2*s.cfg.ReportEvery < j.gang.gatheringSince+s.cfg.GangWait
+	return j.gang.gatheringSince == 0 || s.now+s.longestFetch(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
 }
 
 // abortGang ends an attempt: all its tasks are stopped by one decision.
@@ -114,8 +114,8 @@
 	if s.now < s.gangsAt {
 		return
 	}
-	s.gangsAt = s.now + max(s.cfg.ReportEvery/6, time.Second/4)
-	for _, id := range ordered(s.active) {
+	s.gangsAt = s.now + max(s.cfg.ReportInterval/6, time.Second/4)
+	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.Kind != model.Gang || j.gang.aborting || len(j.tasks) == 0 || j.waiting() == 0 || !s.schedulable(j) {
 			continue
@@ -136,13 +136,13 @@
 // classes that come now and should start sooner than a machine could be rented.
 // Its zone doesn't matter yet.
 func (s *State) spareGang() *job {
-	if s.cfg.SpareGangs == 0 || s.cfg.GangWait == 0 {
+	if s.cfg.SpareGangs == 0 || s.cfg.GangWaitTimeout == 0 {
 		return nil
 	}
 	if s.gangsSeen == nil {
 		s.gangsSeen = map[string]seenGang{}
 	}
-	for _, id := range ordered(s.active) {
+	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.Kind != model.Gang || j.gang.rentPauses > 0 {
 			continue // not what can't be had even for a gang that waits
@@ -152,9 +152,9 @@
 		}
 	}
 	var best *job
-	for _, class := range ordered(s.gangsSeen) {
+	for _, class := range sortedKeys(s.gangsSeen) {
 		g := s.gangsSeen[class]
-		start := s.cfg.Goals[class].Start
+		start := s.cfg.Goals[class].StartWithin
 		if s.now-g.at > s.spareTime() || s.tooLarge(g.job) || start == 0 || start > s.soonestBoot()*3/2 {
 			continue
 		}
@@ -198,11 +198,11 @@
 		return nil, "", 0
 	}
 	room := map[string]int{}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		room[m.zone] += s.gangRoomOn(m, g)
 	}
 	zone, most := "", 0
-	for _, z := range ordered(room) {
+	for _, z := range sortedKeys(room) {
 		if room[z] > most {
 			zone, most = z, room[z]
 		}
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -19,7 +19,7 @@
 	s.countUnaccounted()
 	spare := s.newSpareRoom()
 	var hosts []string
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if len(hosts) >= maxReturned {
 			break
 		}
@@ -44,7 +44,7 @@
 // case, and says nothing of the rest.
 func (s *State) countUnaccounted() {
 	s.unaccountedNow, s.inReach = 0, 0
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if s.zones[m.zone].silent {
 			continue
 		}
@@ -103,7 +103,7 @@
 // lostForGood says whether m, whose lease ran out, is given up: not while nobody
 // reports, since it is rather this node that is cut off then.
 func (s *State) lostForGood(m *machine) bool {
-	return s.now-max(s.leaseEnd(m), s.zoneBack[m.zone]) > s.cfg.Lease/2 && s.now-s.lastReportAt < 2*s.cfg.ReportEvery
+	return s.now-max(s.leaseEnd(m), s.zoneBack[m.zone]) > s.cfg.Lease/2 && s.now-s.lastReportAt < 2*s.cfg.ReportInterval
 }
 
 // empty says whether no task is on m, nor may be.
@@ -112,7 +112,7 @@
 // returnHosts asks the cloud to take machines back.
 func (s *State) returnHosts(hosts []string) {
 	leadership := s.leadership
-	ok := s.cloud(CloudCall{Op: CloudReturn, Hosts: hosts}, func(d CloudDone) {
+	ok := s.cloud(CloudCall{Op: CloudReturn, Hosts: hosts}, func(d CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
@@ -162,7 +162,7 @@
 	if m.typ != nil {
 		boot = max(m.typ.BootS, 5)
 	}
-	return time.Duration(s.cfg.GiveUpBoot * boot * float64(time.Second))
+	return time.Duration(s.cfg.GiveUpBoots * boot * float64(time.Second))
 }
 
 // idleEnough says whether an idle machine has waited for work as long as
@@ -173,7 +173,7 @@
 		boot = max(m.typ.BootS, 5)
 	}
 	const minimumCharge = 60 * time.Second // PROTOCOL, /machines/return
-	return s.now-m.idleSince > time.Duration(s.cfg.IdleReturn*boot*float64(time.Second)) && s.now-m.rentedAt > minimumCharge
+	return s.now-m.idleSince > time.Duration(s.cfg.IdleBoots*boot*float64(time.Second)) && s.now-m.rentedAt > minimumCharge
 }
 
 // gone notes that the cloud has confirmed a machine's end.
@@ -182,7 +182,7 @@
 	if m == nil {
 		return
 	}
-	for _, name := range ordered(m.tasks) {
+	for _, name := range sortedKeys(m.tasks) {
 		s.unbind(m.tasks[name], "machine returned")
 	}
 	s.drop(host)
@@ -190,7 +190,7 @@
 		s.returned = map[string]time.Duration{}
 	}
 	s.returned[host] = s.now
-	s.strike(m)
+	s.unregister(m)
 	s.dirty = true
 	s.checkSettled()
 }
--- a/internal/core/guarantee.go
+++ b/internal/core/guarantee.go
@@ -8,7 +8,7 @@
 // teamUse is what each team's tasks take now, without those being stopped.
 func (s *State) teamUse() map[string]sched.Resources {
 	used := map[string]sched.Resources{}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		for _, t := range m.tasks {
 			if !t.killing {
 				used[t.job.Team] = used[t.job.Team].Add(t.job.teamShare())
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -15,9 +15,9 @@
 func leading(t *testing.T) (*State, *job, *machine) {
 	t.Helper()
 	s := alone()
-	s.loaded, s.hasTouch, s.ready, s.settled = true, true, true, true
-	s.leadership, s.teams, s.pages = newLeadership(s), map[string]sched.Resources{}, map[int]*page{}
-	s.apply(Item{Key: dirJobs + "req-000001", Value: raw(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Batch}}), Stamp: 5})
+	s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
+	s.leadership, s.teams, s.pages = newLeadership(s), map[string]sched.Resources{}, map[int]*registryPage{}
+	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Batch}}), ModRevision: 5})
 	m := s.machine("n-1")
 	m.endpoint, m.session, m.seq, m.adopted, m.rostered, m.up = "e", 1, 10, true, true, true
 	m.minEpoch = s.epochBase()
@@ -29,25 +29,25 @@
 func TestGuardsBehindOthers(t *testing.T) {
 	t.Run("nobody acts before it has caught up with its election", func(t *testing.T) {
 		s, _, _ := leading(t)
-		s.ready, s.rev, s.electedRev = false, 7, 9
+		s.caughtUp, s.revision, s.electedRevision = false, 7, 9
 		s.catchUp()
 		for _, read := range []struct {
 			rev  uint64
 			want bool
 		}{{8, false}, {9, true}} {
-			if s.Leading() {
+			if s.IsLeader() {
 				t.Fatal("it leads before it has read what was there at its election")
 			}
-			s.syncAt = 0
-			s.pumpSync()
-			c, ok := storeCall(s.out, StoreWatch)
+			s.nextReadAt = 0
+			s.sendLinearizableRead()
+			c, ok := storeCall(s.effects, StoreWatch)
 			if !ok {
 				t.Fatal("nothing is read")
 			}
-			s.out = nil
-			s.done(c.Call, StoreDone{Call: c.Call, Status: 200, Rev: read.rev})
-			if s.Leading() != read.want {
-				t.Errorf("read up to %d, elected at 9: leads: %v", read.rev, s.Leading())
+			s.effects = nil
+			s.completeCall(c.CallID, StoreResult{CallID: c.CallID, Status: 200, Revision: read.rev})
+			if s.IsLeader() != read.want {
+				t.Errorf("read up to %d, elected at 9: leads: %v", read.rev, s.IsLeader())
 			}
 		}
 	})
@@ -89,10 +89,10 @@
 	})
 	t.Run("a leader's writes name its term", func(t *testing.T) {
 		s, _, _ := leading(t)
-		s.transact([]*write{{change: Change{Key: dirPage + "1", Value: raw(1)}, leader: 4, done: func(outcome) {}}}, true)
-		c, _ := storeCall(s.out, StoreTxn)
-		if !slices.Contains(c.Guards, Guard{keyTerm, s.termStamp}) {
-			t.Errorf("guards %v", c.Guards)
+		s.transact([]*write{{change: Change{Key: prefixPages + "1", Value: mustMarshal(1)}, leaderTerm: 4, done: func(outcome) {}}}, true)
+		c, _ := storeCall(s.effects, StoreTxn)
+		if !slices.Contains(c.Preconditions, Precondition{keyTerm, s.termModRevision}) {
+			t.Errorf("guards %v", c.Preconditions)
 		}
 	})
 	t.Run("a result is forgotten only once it is durable", func(t *testing.T) {
@@ -109,10 +109,10 @@
 	})
 	t.Run("an answer carries the end of the entitlement", func(t *testing.T) {
 		s, _, m := leading(t)
-		s.out = nil
+		s.effects = nil
 		s.answerReport(pendingReport{req: 1, m: m, r: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
-		if r, ok := s.out[0].(Reply); !ok || r.Status != 200 || r.Until != s.leadership.Until() {
-			t.Errorf("%+v, entitled until %v", s.out, s.leadership.Until())
+		if r, ok := s.effects[0].(Reply); !ok || r.Status != 200 || r.SendBefore != s.leadership.ValidUntil() {
+			t.Errorf("%+v, entitled until %v", s.effects, s.leadership.ValidUntil())
 		}
 	})
 	t.Run("a lease that has surely run out frees what ran under it", func(t *testing.T) {
@@ -133,8 +133,8 @@
 	})
 	t.Run("an entitlement that has run out is over", func(t *testing.T) {
 		s, _, _ := leading(t)
-		s.now = s.leadership.Until()
-		if s.Leading() {
+		s.now = s.leadership.ValidUntil()
+		if s.IsLeader() {
 			t.Error("it leads on")
 		}
 	})
@@ -181,8 +181,8 @@
 func TestGangGuards(t *testing.T) {
 	gathering := func(t *testing.T) (*State, *job, *machine) {
 		s, _, m := leading(t)
-		s.cfg.GangWait = 40 * time.Second
-		s.apply(Item{Key: dirJobs + "req-000002", Value: raw(jobValue{Spec: &model.Job{ID: "req-000002", Team: "t", Tasks: 3, CPUs: 1, Kind: model.Gang}}), Stamp: 6})
+		s.cfg.GangWaitTimeout = 40 * time.Second
+		s.apply(Item{Key: prefixJobs + "req-000002", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000002", Team: "t", Tasks: 3, CPUs: 1, Kind: model.Gang}}), ModRevision: 6})
 		j := s.jobs["req-000002"]
 		for i := range 2 {
 			s.bind(&task{job: j, index: i, name: model.TaskName(j.ID, i), attempt: 7, m: m, session: 1, issued: true, state: model.TaskGathering})
@@ -260,13 +260,13 @@
 		if n := stopped(); n != 4 {
 			t.Fatalf("%d tasks stopped, want 4", n)
 		}
-		s.now += s.cfg.ReportEvery // some have ended, and their room is kept
-		for _, m := range s.order {
+		s.now += s.cfg.ReportInterval // some have ended, and their room is kept
+		for _, m := range s.machinesByName {
 			m.stale = true
 			s.refreshView(m)
 		}
 		g.entry.Waiting = 2
-		for _, m := range s.order { // as if others had come in between
+		for _, m := range s.machinesByName { // as if others had come in between
 			if m.reservedFor == nil {
 				continue
 			}
@@ -285,9 +285,9 @@
 			want bool
 		}{{beginWithin / 2, false}, {beginWithin / 4, true}} {
 			s, _, m := leading(t)
-			s.wall = int64(time.Hour / time.Millisecond)
+			s.wallMs = int64(time.Hour / time.Millisecond)
 			low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.Batch, Tasks: 8}, rank: model.Rank(model.Low), tasks: map[int]*task{}, zones: map[string]int{}, doneBits: make([]uint64, 1)}
-			low.at = s.wall - int64(c.age/time.Millisecond)
+			low.at = s.wallMs - int64(c.age/time.Millisecond)
 			x := &task{job: low, name: "req-000003/0", m: m, session: 1}
 			s.bind(x)
 			e := &eviction{s: s, job: &job{Job: model.Job{Kind: model.Gang, Team: "t"}, rank: model.Rank(model.High)}}
@@ -353,12 +353,12 @@
 	} {
 		for _, accepted := range []bool{false, true} {
 			s := alone()
-			s.cfg.ValueBytes = 2 << 10
-			s.loaded, s.hasTouch, s.contact = true, true, time.Second
+			s.cfg.MaxValueBytes = 2 << 10
+			s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 			s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 			s.typeList = []model.MachineType{*s.types["small"]}
 			c.job.ID = "req-000001"
-			out := s.Step(time.Second, Submit{Req: 1, Job: c.job})
+			out := s.Step(time.Second, Submit{RequestID: 1, Job: c.job})
 			for _, e := range out {
 				if r, ok := e.(Reply); ok {
 					t.Fatalf("%s: answered %d before the state service was read", c.name, r.Status)
@@ -368,10 +368,10 @@
 			if !ok {
 				t.Fatalf("%s: nothing is read", c.name)
 			}
-			d := StoreDone{Call: call.Call, Status: 200, Rev: 7}
+			d := StoreResult{CallID: call.CallID, Status: 200, Revision: 7}
 			want := c.status
 			if accepted {
-				d.Items = []Item{{Key: dirJobs + c.job.ID, Value: raw(jobValue{Spec: &c.job}), Stamp: 7}}
+				d.Items = []Item{{Key: prefixJobs + c.job.ID, Value: mustMarshal(jobValue{Spec: &c.job}), ModRevision: 7}}
 				want = 200
 			}
 			got := 0
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -118,7 +118,7 @@
 		s.jobs[id] = j
 		if v.Spec != nil {
 			j.Job = *v.Spec
-			j.arrival, j.at, j.rank = it.Stamp, v.At, model.Rank(j.Priority)
+			j.arrival, j.at, j.rank = it.ModRevision, v.At, model.Rank(j.Priority)
 			j.doneBits = make([]uint64, (j.Tasks+63)/64)
 			j.chunks = map[int]*chunk{}
 			s.active[id] = j
@@ -130,11 +130,11 @@
 		j.phase, j.overAt = v.Phase, s.now
 		delete(s.active, id)
 		s.log(slog.LevelInfo, "job over", "job", id, "phase", v.Phase)
-		if v.Phase == model.PhaseAborted && it.Stamp > s.termStamp {
-			s.unshared[id] = it.Stamp
+		if v.Phase == model.PhaseAborted && it.ModRevision > s.termModRevision {
+			s.unshared[id] = it.ModRevision
 		}
 		if v.Phase == model.PhaseAborted {
-			s.cancellationLearnt(j, it.Stamp)
+			s.cancellationLearnt(j, it.ModRevision)
 		}
 		if s.leadership != nil && s.electedAt != 0 {
 			s.jobOver(j)
@@ -148,7 +148,7 @@
 	for _, t := range j.tasks {
 		s.kill(t, 0)
 	}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if len(m.view.Local) == 0 {
 			continue
 		}
@@ -195,26 +195,26 @@
 // finishJob makes "done" durable. Against a withdrawal the guard on the key
 // decides.
 func (s *State) finishJob(j *job) {
-	if j.finishing || !s.Leading() {
+	if j.finishing || !s.IsLeader() {
 		return
 	}
 	j.finishing = true
-	key := dirJobs + j.ID
-	value := raw(jobValue{Phase: model.PhaseDone, Tasks: j.Tasks})
+	key := prefixJobs + j.ID
+	value := mustMarshal(jobValue{Phase: model.PhaseDone, Tasks: j.Tasks})
 	var extra []Change
-	for _, n := range ordered(j.chunks) {
-		k := dirProgress + j.ID + "/" + strconv.Itoa(n)
-		for part := 0; s.stamp(k) != 0 && len(extra) < s.cfg.TxnOps-1; part++ {
+	for _, n := range sortedKeys(j.chunks) {
+		k := prefixProgress + j.ID + "/" + strconv.Itoa(n)
+		for part := 0; s.modRevision(k) != 0 && len(extra) < s.cfg.MaxTxnOps-1; part++ {
 			extra = append(extra, Change{Key: k, Remove: true})
-			k = dirProgress + j.ID + "/" + strconv.Itoa(n) + "." + strconv.Itoa(part+1)
+			k = prefixProgress + j.ID + "/" + strconv.Itoa(n) + "." + strconv.Itoa(part+1)
 		}
 	}
-	s.put(&write{
-		change: Change{Key: key, Value: value}, leader: s.leadership.Term, deadline: s.now + time.Hour, extra: extra, class: classEnd,
+	s.queueWrite(&write{
+		change: Change{Key: key, Value: value}, leaderTerm: s.leadership.Term, deadline: s.now + time.Hour, alsoRemove: extra, class: classJobEnd,
 		done: func(r outcome) {
 			j.finishing = false
 			if r == written {
-				s.nudge(key, value)
+				s.notifyPeers(key, value)
 			}
 		},
 	})
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -9,31 +9,31 @@
 
 // leadState is what concerns leadership: promises, candidacy and the key.
 type leadState struct {
-	voter            *election.Voter
-	peers            map[string]*peerState
-	leadership       *election.Leadership // candidacy or leadership; nil for a follower
-	leaseID          uint64               // lease of the leader key
-	leaseRequestedAt time.Duration        // sending of the request that got it
-	winningKey       bool                 // lease or key transaction under way
-	renewing         bool                 // a renewal of the key is under way
+	voter              *election.Voter
+	peers              map[string]*peerState
+	leadership         *election.Leadership // candidacy or leadership; nil for a follower
+	leaseID            uint64               // lease of the leader key
+	leaseRequestedAt   time.Duration        // sending of the request that got it
+	keyRequestInFlight bool                 // lease or key transaction under way
+	renewalInFlight    bool                 // a renewal of the key is under way
 
 	// Nothing of the kind before these times.
-	campaignAt, requestVotesAt, renewAt, announceAt, abstainUntil time.Duration
+	campaignAt, requestVotesAt, renewAt, announceRestartAt, noCampaignUntil time.Duration
 
-	unreached         bool          // stepped down because no worker came, and none has come since
-	entitlementLostAt time.Duration // stepped down because its entitlement ran out; 0: never
+	steppedDownUnreached bool          // stepped down because no worker came, and none has come since
+	leadershipExpiredAt  time.Duration // stepped down because its entitlement ran out; 0: never
 
-	electedAt  time.Duration
-	electedRev uint64
-	before     uint64             // the term before this one, whose version the key was won under
-	transfer   leadershipTransfer // by a leader whose term has ended
-	firstTerm  bool               // nobody has led, and so rented, before this term
-	ready      bool               // the replica has caught up with the election
+	electedAt       time.Duration
+	electedRevision uint64
+	previousTerm    uint64             // the term before this one, whose version the key was won under
+	transfer        leadershipTransfer // by a leader whose term has ended
+	firstTerm       bool               // nobody has led, and so rented, before this term
+	caughtUp        bool               // the replica has caught up with the election
 }
 
-// Leading says whether this node may act as leader now.
-func (s *State) Leading() bool {
-	return s.leadership != nil && s.ready && s.leadership.Entitled(s.now)
+// IsLeader says whether this node may act as leader now.
+func (s *State) IsLeader() bool {
+	return s.leadership != nil && s.caughtUp && s.leadership.CanAct(s.now)
 }
 
 // term of the leader's keys: attempts, rental requests and epochs are built from it, so
@@ -45,20 +45,20 @@
 
 func (s *State) epochBase() uint64 { return s.leadership.Term << fenceBits }
 
-// checkEntitlement ends a leadership whose entitlement has run out.
-func (s *State) checkEntitlement() {
-	if s.leadership != nil && s.electedAt != 0 && !s.leadership.Entitled(s.now) {
-		s.entitlementLostAt = s.now
+// stepDownIfExpired ends a leadership whose entitlement has run out.
+func (s *State) stepDownIfExpired() {
+	if s.leadership != nil && s.electedAt != 0 && !s.leadership.CanAct(s.now) {
+		s.leadershipExpiredAt = s.now
 		s.stepDown("entitlement ran out")
 	}
 }
 
-// superseded ends a leadership or candidacy overtaken by a higher term.
-func (s *State) superseded() {
+// stepDownIfSuperseded ends a leadership or candidacy overtaken by a higher term.
+func (s *State) stepDownIfSuperseded() {
 	if s.leadership != nil && s.term > s.leadership.Term {
 		s.stepDown("a higher term was won")
 	}
-	if s.leadership != nil && s.electedAt == 0 && !s.winningKey && s.term >= s.leadership.Term {
+	if s.leadership != nil && s.electedAt == 0 && !s.keyRequestInFlight && s.term >= s.leadership.Term {
 		s.stepDown("the term was won by another")
 	}
 }
@@ -78,11 +78,11 @@
 	// the store a lease. A term that was won is never used again; one that
 	// wasn't may be, by a later life of this node, so that its release names
 	// the life that it is from.
-	life := s.cfg.Boot
+	life := s.cfg.Incarnation
 	if s.electedAt != 0 {
 		life = 0
 	}
-	if s.ready {
+	if s.caughtUp {
 		s.transferLeadership(term)
 	}
 	for _, p := range s.cfg.Peers {
@@ -90,29 +90,29 @@
 	}
 	s.voter.Release(s.cfg.Self, term)
 	if s.leaseID != 0 {
-		s.store(StoreCall{Op: StoreRevoke, Lease: s.leaseID}, func(StoreDone) {})
+		s.callStore(StoreCall{Op: StoreRevoke, Lease: s.leaseID}, func(StoreResult) {})
 	}
-	s.leadership, s.leaseID, s.ready, s.settled, s.electedAt, s.renewing = nil, 0, false, false, 0, false
-	s.campaignAt = s.now + s.pause()
+	s.leadership, s.leaseID, s.caughtUp, s.settled, s.electedAt, s.renewalInFlight = nil, 0, false, false, 0, false
+	s.campaignAt = s.now + s.campaignDelay()
 	s.answerReports()
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		s.proven(m, false)
 		m.forgetTerm()
 	}
-	s.orphaned, s.teams, s.directs = nil, nil, 0
-	s.shareWrites(false)
+	s.machinesWithOrphans, s.teams, s.directs = nil, nil, 0
+	s.setWriteRate(false)
 	for _, j := range s.active {
 		j.forgetTerm()
 	}
 	s.fleetState = fleetState{}
 }
 
-// leaderName is the node that leads as far as this one knows.
-func (s *State) leaderName() string {
+// currentLeader is the node that leads as far as this one knows.
+func (s *State) currentLeader() string {
 	if s.leadership != nil && s.electedAt != 0 {
 		return s.cfg.Self
 	}
-	if node, bound := s.voter.Bound(s.now); bound && node != s.cfg.Self {
+	if node, bound := s.voter.PromisedTo(s.now); bound && node != s.cfg.Self {
 		return node
 	}
 	if s.leaderNode != s.cfg.Self {
@@ -121,8 +121,8 @@
 	return ""
 }
 
-// LeadingAt says whether this node may act as leader at now. It changes
+// IsLeaderAt says whether this node may act as leader at now. It changes
 // nothing: a test can ask without ending what has lapsed.
-func (s *State) LeadingAt(now time.Duration) bool {
-	return s.leadership != nil && s.ready && s.electedAt != 0 && now < s.leadership.Until()
+func (s *State) IsLeaderAt(now time.Duration) bool {
+	return s.leadership != nil && s.caughtUp && s.electedAt != 0 && now < s.leadership.ValidUntil()
 }
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -22,22 +22,22 @@
 // leaseEnd is when m's lease has surely run out, if nobody answers it again.
 func (s *State) leaseEnd(m *machine) time.Duration {
 	l := s.cfg.Lease
-	return m.lastReplyAt + l + time.Duration(float64(l)*4*Drift) + l/32
+	return m.lastReplyAt + l + time.Duration(float64(l)*4*ClockDrift) + l/32
 }
 
 // lapses unbinds what was on machines whose lease has surely run out.
 func (s *State) lapses() {
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if m.lapsed || !m.rostered || s.now < s.leaseEnd(m) {
 			continue
 		}
 		m.lapsed, m.adopted, m.cleared = true, false, true
 		s.log(slog.LevelInfo, "machine lost", "host", m.host, "term", s.leadership.Term, "tasks", len(m.tasks))
-		for _, name := range ordered(m.tasks) {
+		for _, name := range sortedKeys(m.tasks) {
 			s.unbind(m.tasks[name], "lease ran out")
 		}
 		clear(m.orphans)
-		s.orphaned = slices.DeleteFunc(s.orphaned, func(o *machine) bool { return o == m })
+		s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(o *machine) bool { return o == m })
 		m.view.Local = nil
 		s.dirty = true
 	}
@@ -53,19 +53,19 @@
 // checkSettled notes when every task of older jobs is accounted for: each
 // machine of the roster has shown all it has under this term, or is gone.
 func (s *State) checkSettled() {
-	if s.settled || !s.Leading() {
+	if s.settled || !s.IsLeader() {
 		return
 	}
 	// It is called for each report: looking at all machines each time would
 	// make a takeover's work grow with the square of the fleet.
-	for ; s.scanNext < len(s.order); s.scanNext++ {
+	for ; s.scanNext < len(s.machinesByName); s.scanNext++ {
 		s.scanned++
-		if s.unaccounted(s.order[s.scanNext]) {
+		if s.unaccounted(s.machinesByName[s.scanNext]) {
 			return
 		}
 	}
-	s.scanned += len(s.order)
-	if slices.ContainsFunc(s.order, s.unaccounted) {
+	s.scanned += len(s.machinesByName)
+	if slices.ContainsFunc(s.machinesByName, s.unaccounted) {
 		s.scanNext = 0 // the order has changed meanwhile, or one has begun anew
 		return
 	}
@@ -79,8 +79,8 @@
 // first, but doesn't start counting again: with a leader that changed late they
 // were given up long after cancel_s.
 func (s *State) overdue(m *machine) bool {
-	limit := s.cfg.CancelIn * 3 / 5
-	tried := min(limit, 2*s.cfg.ReportEvery)
+	limit := s.cfg.CancelWithin * 3 / 5
+	tried := min(limit, 2*s.cfg.ReportInterval)
 	late := func(j *job) bool {
 		return j != nil && j.phase == model.PhaseAborted && s.now-j.overAt > limit && s.now-s.electedAt > tried
 	}
@@ -125,7 +125,7 @@
 // with one of three gone, nine machines held up all older jobs of the other two.
 func (s *State) missing(m *machine) bool {
 	return s.unaccounted(m) && m.session == 0 && m.askedInVain &&
-		s.now-s.electedAt > s.overdueReport(s.cfg.ReportEvery*5/4, s.silence()/2+s.cfg.ReportEvery) && s.unaccountedNow*32 <= s.inReach
+		s.now-s.electedAt > s.overdueReport(s.cfg.ReportInterval*5/4, s.silence()/2+s.cfg.ReportInterval) && s.unaccountedNow*32 <= s.inReach
 }
 
 // unresponsive says whether m is given up before its lease is over: it carries
@@ -151,10 +151,10 @@
 // then itself at fault, and not this node or the network.
 func (s *State) othersReport() bool {
 	there, well := 0, 0
-	for _, o := range s.order {
+	for _, o := range s.machinesByName {
 		if o.adopted {
 			there++
-			if s.now-o.heard < 2*s.cfg.ReportEvery {
+			if s.now-o.heard < 2*s.cfg.ReportInterval {
 				well++
 			}
 		}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -85,14 +85,14 @@
 		m.stale = true
 		s.machines[host] = m
 		at, _ := s.place(host)
-		s.order = slices.Insert(s.order, at, m)
+		s.machinesByName = slices.Insert(s.machinesByName, at, m)
 	}
 	return m
 }
 
 // place is where host stands or would stand in the order of machines.
 func (s *State) place(host string) (int, bool) {
-	return slices.BinarySearchFunc(s.order, host, func(m *machine, h string) int { return strings.Compare(m.host, h) })
+	return slices.BinarySearchFunc(s.machinesByName, host, func(m *machine, h string) int { return strings.Compare(m.host, h) })
 }
 
 // drop forgets a machine.
@@ -100,9 +100,9 @@
 	delete(s.machines, host)
 	if at, ok := s.place(host); ok {
 		// A new list: somebody may be going over the old one.
-		s.order = slices.Concat(s.order[:at], s.order[at+1:])
+		s.machinesByName = slices.Concat(s.machinesByName[:at], s.machinesByName[at+1:])
 	}
-	s.orphaned = slices.DeleteFunc(s.orphaned, func(m *machine) bool { return m.host == host })
+	s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(m *machine) bool { return m.host == host })
 }
 
 // describe sets what kind of machine m is.
@@ -149,26 +149,26 @@
 	s.attempts, s.rentals, s.lastReportAt = 0, 0, s.now
 	s.settled, s.scanNext, s.scanned = false, 0, 0
 	s.paths = map[sched.Path]int{}
-	s.pages, s.rosterAt, s.silenceAt = map[int]*page{}, 0, 0
-	s.teams, s.orphaned, s.pendingReports = map[string]sched.Resources{}, nil, nil
-	for _, m := range s.order {
+	s.pages, s.nextPageWriteAt, s.nextUnresponsiveCheckAt = map[int]*registryPage{}, 0, 0
+	s.teams, s.machinesWithOrphans, s.pendingReports = map[string]sched.Resources{}, nil, nil
+	for _, m := range s.machinesByName {
 		if !m.rostered {
 			s.drop(m.host)
 			continue
 		}
 		m.forgetTerm()
-		m.lastReplyAt, m.heard, m.silentSince = s.lastAnswered(m), s.electedAt, m.silentStored
+		m.lastReplyAt, m.heard, m.silentSince = s.latestPossibleReplyAt(m), s.electedAt, m.silentStored
 		m.idleSince, m.rentedAt = s.now, s.now
 		if m.page > 0 {
-			s.page(m.page).owned++
+			s.page(m.page).machinesAtStart++
 		}
 	}
 	for n, listed := range s.pageHosts {
-		if p := s.page(n); p.owned != len(listed) {
+		if p := s.page(n); p.machinesAtStart != len(listed) {
 			p.dirty = true // a machine that is on two pages, since moving it was cut short
 		}
 	}
-	for _, id := range ordered(s.active) {
+	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		j.forgetTerm()
 		if j.doneCount == j.Tasks {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -26,8 +26,8 @@
 }
 
 func (s *State) answerReport(h pendingReport) {
-	if !s.Leading() || s.machines[h.m.host] != h.m || h.m.session != h.r.Session || h.m.lapsed || !s.clearSilence(h.m) {
-		s.emit(Reply{Req: h.req, Status: 503, Body: Problem{"overtaken"}})
+	if !s.IsLeader() || s.machines[h.m.host] != h.m || h.m.session != h.r.Session || h.m.lapsed || !s.clearUnresponsiveMark(h.m) {
+		s.emit(Reply{RequestID: h.req, Status: 503, Body: Problem{"overtaken"}})
 		return
 	}
 	m := h.m
@@ -45,7 +45,7 @@
 	orders = s.withStops(h.m, h.r, orders)
 	s.leaseRenewed(h.m, h.r, len(orders))
 	s.stopsSent(h.m, orders, "answer")
-	s.emit(Reply{Req: h.req, Status: 200, Body: ReportReply{s.epoch(h.m), orders}, Until: s.leadership.Until()})
+	s.emit(Reply{RequestID: h.req, Status: 200, Body: ReportReply{s.epoch(h.m), orders}, SendBefore: s.leadership.ValidUntil()})
 }
 
 // withStops puts the stops that an answer to r must carry in front of orders, which
@@ -113,7 +113,7 @@
 	pendingReports := s.pendingReports
 	s.pendingReports = nil
 	for _, h := range pendingReports {
-		if s.Leading() && h.m.silentStored != 0 && s.now-h.at < s.cfg.ReportEvery {
+		if s.IsLeader() && h.m.silentStored != 0 && s.now-h.at < s.cfg.ReportInterval {
 			s.pendingReports = append(s.pendingReports, h)
 			continue
 		}
@@ -138,12 +138,12 @@
 			orders = append(orders, model.Order{Verb: model.Forget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	for _, name := range ordered(m.orphans) {
+	for _, name := range sortedKeys(m.orphans) {
 		if len(orders) < maxOrders {
 			orders = append(orders, model.Order{Verb: model.Kill, Task: name, Attempt: m.orphans[name].Attempt, Grace: new(float64)})
 		}
 	}
-	for _, name := range ordered(m.tasks) {
+	for _, name := range sortedKeys(m.tasks) {
 		if len(orders) >= maxOrders {
 			break
 		}
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -18,18 +18,18 @@
 
 // Kinds of messages between controllers.
 const (
-	MsgRestarted   = "hello"      // a fresh process asks whether its earlier life is still counted on
-	MsgFree        = "free"       // answers that it isn't
-	MsgVoteRequest = "claim"      // asks for a promise
-	MsgPromise     = "promise"    // answers it
-	MsgRelease     = "release"    // gives a term up
-	MsgNudge       = "nudge"      // a change that the sender has made durable
-	MsgCounts      = "counts"     // running tasks per job, for display
-	MsgCancelled   = "cancelled"  // cancellations that the receiver may not know of
-	MsgKnown       = "known"      // a leader's acknowledgement of them
-	MsgUnanswered  = "unanswered" // machines that a leader had not answered lately when its term ended
-	MsgAsk         = "ask"        // a user's request, from a node without the store
-	MsgAnswer      = "answer"
+	MsgRestarted          = "hello"      // a fresh process asks whether its earlier life is still counted on
+	MsgPromisesReleased   = "free"       // answers that it isn't
+	MsgVoteRequest        = "claim"      // asks for a promise
+	MsgPromise            = "promise"    // answers it
+	MsgRelease            = "release"    // gives a term up
+	MsgChange             = "nudge"      // a change that the sender has made durable
+	MsgRunningCounts      = "counts"     // running tasks per job, for display
+	MsgCancelled          = "cancelled"  // cancellations that the receiver may not know of
+	MsgCancelledAck       = "known"      // a leader's acknowledgement of them
+	MsgLeadershipTransfer = "unanswered" // machines that a leader had not answered lately when its term ended
+	MsgForward            = "ask"        // a user's request, from a node without the store
+	MsgForwardReply       = "answer"
 )
 
 // PeerMsg is a message between controllers. Sent is the asker's own clock and
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -48,7 +48,7 @@
 // roomReserved counts the machines whose room is kept for j.
 func (s *State) roomReserved(j *job) int {
 	n := 0
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if s.holdsRoomFor(m, j) {
 			n++
 		}
@@ -107,7 +107,7 @@
 // class has, would miss it by fetching its image. A lost replica has that time
 // anew.
 func (s *State) fetchTooLong(j *job) bool {
-	goal := s.cfg.Goals[j.Class].Start
+	goal := s.cfg.Goals[j.Class].StartWithin
 	left := goal - s.age(j)
 	if j.lostAt != 0 {
 		left = max(left, j.lostAt+goal-s.now)
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -53,7 +53,7 @@
 		return
 	}
 	// Going over the fleet for each gang in each round would take the rounds' time.
-	j.gang.preemptAt = s.now + s.cfg.ReportEvery/preemptionsPerReport
+	j.gang.preemptAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
 	var best *gangEviction
 	for _, zone := range gangZones(j, env.views) {
 		if env.Spent() {
@@ -83,7 +83,7 @@
 	for _, v := range views {
 		zones[v.Zone] = true
 	}
-	return ordered(zones)
+	return sortedKeys(zones)
 }
 
 // evictInZone finds room for n tasks of j in one zone (""; in any), the least
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -33,7 +33,7 @@
 	switch {
 	case m.reach.lost || m.answeredSeq == 0 || r.Seq <= m.answeredSeq:
 		// Known, or not answered in this session yet.
-	case s.now-m.answeredAt < s.cfg.ReportEvery/3:
+	case s.now-m.answeredAt < s.cfg.ReportInterval/3:
 		// Too soon after our answer to have been sent in its knowledge: a late copy.
 		// Several that came at once to a new leader had sound machines marked, and
 		// what ran there lost its leases.
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -22,7 +22,7 @@
 		return
 	}
 	have := map[string]int{}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		have[m.zone]++
 	}
 	rentals, unmet := fleet.Plan(wants, s.coming(), s.offers(have), s.rentalLimit())
@@ -78,7 +78,7 @@
 func (s *State) rentAs(name string, r fleet.Rental, try int) {
 	leadership := s.leadership
 	key := offerKey{r.Type, r.Zone, r.Spot}
-	ok := s.cloud(CloudCall{Op: CloudRent, Request: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50)}, func(d CloudDone) {
+	ok := s.cloud(CloudCall{Op: CloudRent, Request: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50)}, func(d CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -9,74 +9,76 @@
 
 // Keys in the state service.
 const (
-	root              = "mf/"
-	keyTerm           = root + "term"
-	keyLeader         = root + "leader"
-	keyTypes          = root + "types"
-	keyClusterVersion = root + "forms"
-	dirJobs           = root + "j/"
-	dirMachine        = root + "m/" // a machine of the roster, by versions before the pages
-	dirPage           = root + "r/"
-	dirVersions       = root + "v/"
+	keyRoot           = "mf/"
+	keyTerm           = keyRoot + "term"
+	keyLeader         = keyRoot + "leader"
+	keyTypes          = keyRoot + "types"
+	keyClusterVersion = keyRoot + "forms"
+	prefixJobs        = keyRoot + "j/"
+	prefixMachines    = keyRoot + "m/" // a machine of the roster, by versions before the pages
+	prefixPages       = keyRoot + "r/"
+	prefixVersions    = keyRoot + "v/"
 	// Sorts behind dirJobs: a listing brings a job before its progress.
-	dirProgress = root + "p/"
+	prefixProgress = keyRoot + "p/"
 )
 
 // replica is this node's copy of everything under root, kept up by watching.
 type replica struct {
-	loaded   bool
-	loading  bool
-	rev      uint64
-	stamps   map[string]uint64 // version of each key; of a removed one: its removal
-	removed  map[string]bool
-	watching bool
-	watchAt  time.Duration // not before
+	loaded       bool
+	loading      bool
+	revision     uint64
+	modRevisions map[string]uint64 // version of each key; of a removed one: its removal
+	removed      map[string]bool
+	watching     bool
+	nextWatchAt  time.Duration // not before
 
-	waiters  []func(ok bool) // want the state as of now or later
-	syncing  bool
-	syncAt   time.Duration
-	contact  time.Duration // sending of the last request that was answered
-	okSince  time.Duration // contact without a gap since
-	readAt   time.Duration // sending of the last read that made this copy complete
-	hasTouch bool
+	pendingReads   []func(ok bool) // want the state as of now or later
+	readInFlight   bool
+	nextReadAt     time.Duration
+	lastContactAt  time.Duration // sending of the last request that was answered
+	contactSince   time.Duration // contact without a gap since
+	completeReadAt time.Duration // sending of the last read that made this copy complete
+	hasContact     bool
 
-	termStamp      uint64
-	termNode       string // who won it
-	term           uint64
-	leaderNode     string
-	leaderTerm     uint64
-	leaderLease    uint64
-	leaderStamp    uint64
-	leaderGone     time.Duration // when the key was last seen to go
-	typesStamp     uint64
-	clusterVersion int // in use by the whole cluster: see version.go
+	termModRevision   uint64
+	termWinner        string // who won it
+	term              uint64
+	leaderNode        string
+	leaderTerm        uint64
+	leaderLease       uint64
+	leaderModRevision uint64
+	leaderKeyGoneAt   time.Duration // when the key was last seen to go
+	typesModRevision  uint64
+	clusterVersion    int // in use by the whole cluster: see version.go
 }
 
 func (r *replica) init() {
-	r.stamps = map[string]uint64{}
+	r.modRevisions = map[string]uint64{}
 	r.removed = map[string]bool{}
 }
 
-// storeGap is the silence after which the state service counts as not
+// storeContactTimeout is the silence after which the state service counts as not
 // reached: a watch ends after a second at the latest.
-func (s *State) storeGap() time.Duration { return s.ecf.KeyLife }
+func (s *State) storeContactTimeout() time.Duration { return s.electionConfig.KeyTTL }
 
-func (s *State) storeAnswered(sent time.Duration) {
-	if !s.hasTouch || sent > s.contact+s.storeGap() {
-		s.okSince = sent
+func (s *State) recordStoreContact(sent time.Duration) {
+	if !s.hasContact || sent > s.lastContactAt+s.storeContactTimeout() {
+		s.contactSince = sent
 	}
-	s.hasTouch = true
-	s.contact = max(s.contact, sent)
+	s.hasContact = true
+	s.lastContactAt = max(s.lastContactAt, sent)
 }
 
-func (s *State) storeAge() time.Duration {
-	if !s.hasTouch {
+func (s *State) sinceStoreContact() time.Duration {
+	if !s.hasContact {
 		return time.Hour
 	}
-	return s.now - s.contact
+	return s.now - s.lastContactAt
 }
 
-func (s *State) storeOK() bool { return s.loaded && s.storeAge() < s.storeGap() }
+func (s *State) isStoreReachable() bool {
+	return s.loaded && s.sinceStoreContact() < s.storeContactTimeout()
+}
 
 // load reads everything anew, page by page.
 func (s *State) load() {
@@ -86,17 +88,17 @@
 	seen := map[string]bool{}
 	var page func(from string)
 	page = func(from string) {
-		s.store(StoreCall{Op: StoreList, Prefix: root, From: from, Limit: 500}, func(d StoreDone) {
+		s.callStore(StoreCall{Op: StoreList, Prefix: keyRoot, StartAfter: from, Limit: 500}, func(d StoreResult) {
 			if d.Status != 200 {
 				s.loading = false
-				s.watchAt = s.now + 300*time.Millisecond
+				s.nextWatchAt = s.now + 300*time.Millisecond
 				return
 			}
 			if first {
 				// Changes after the first page's revision come by watch. An
 				// empty store is at revision 0, and its first change must not
 				// be missed.
-				first, rev = false, d.Rev
+				first, rev = false, d.Revision
 			}
 			for _, it := range d.Items {
 				seen[it.Key] = true
@@ -107,26 +109,26 @@
 				return
 			}
 			// What a gap in the watch has hidden: keys that are gone.
-			for _, k := range ordered(s.stamps) {
-				if !seen[k] && !s.removed[k] && s.stamps[k] <= rev {
-					s.apply(Item{Key: k, Stamp: rev, Removed: true})
+			for _, k := range sortedKeys(s.modRevisions) {
+				if !seen[k] && !s.removed[k] && s.modRevisions[k] <= rev {
+					s.apply(Item{Key: k, ModRevision: rev, Removed: true})
 				}
 			}
 			s.loading, s.loaded = false, true
-			s.rev = max(s.rev, rev)
+			s.revision = max(s.revision, rev)
 			s.hasRead(sent)
-			s.voter.Since(s.term)
-			s.releaseEarlierLife()
-			s.log(slog.LevelInfo, "state loaded", "rev", s.rev, "jobs", len(s.jobs), "machines", len(s.machines))
+			s.voter.LimitPreviousReadLease(s.term)
+			s.releasePreviousIncarnation()
+			s.log(slog.LevelInfo, "state loaded", "rev", s.revision, "jobs", len(s.jobs), "machines", len(s.machines))
 		})
 	}
 	page("")
 }
 
-// pumpWatch keeps one watch open. It blocks for a second at most, so that its
+// maintainWatch keeps one watch open. It blocks for a second at most, so that its
 // answers also show that the state service is reached.
-func (s *State) pumpWatch() {
-	if s.now < s.watchAt || s.loading || s.watching || !s.storeRate.AllowN(s.at(), 1) {
+func (s *State) maintainWatch() {
+	if s.now < s.nextWatchAt || s.loading || s.watching || !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
 	}
 	if !s.loaded {
@@ -136,10 +138,10 @@
 	s.dropTombstones()
 	s.watching = true
 	sent := s.now
-	s.store(StoreCall{Op: StoreWatch, Prefix: root, After: s.rev, Block: time.Second, Timeout: 2 * time.Second}, func(d StoreDone) {
+	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, BlockTimeout: time.Second, Timeout: 2 * time.Second}, func(d StoreResult) {
 		s.watching = false
-		s.watchAt = max(s.now, sent+200*time.Millisecond)
-		s.news(d, sent)
+		s.nextWatchAt = max(s.now, sent+200*time.Millisecond)
+		s.applyWatchResult(d, sent)
 	})
 }
 
@@ -147,69 +149,69 @@
 // machine and job that ever was. A tombstone keeps older news of its key from
 // bringing it back; with no request under way, none can come any more.
 func (s *State) dropTombstones() {
-	if s.syncing || s.writing || s.loading {
+	if s.readInFlight || s.txnInFlight || s.loading {
 		return
 	}
 	for k := range s.removed {
-		if s.stamps[k] <= s.rev {
-			delete(s.stamps, k)
+		if s.modRevisions[k] <= s.revision {
+			delete(s.modRevisions, k)
 			delete(s.removed, k)
 		}
 	}
 }
 
-func (s *State) news(d StoreDone, sent time.Duration) bool {
+func (s *State) applyWatchResult(d StoreResult, sent time.Duration) bool {
 	switch d.Status {
 	case 200:
 		for _, it := range d.Items {
 			s.apply(it)
 		}
-		s.rev = max(s.rev, d.Rev)
+		s.revision = max(s.revision, d.Revision)
 		s.hasRead(sent)
-		s.debug("state read", "sent", sent, "received", s.now, "rev", d.Rev, "changes", len(d.Items))
+		s.debug("state read", "sent", sent, "received", s.now, "rev", d.Revision, "changes", len(d.Items))
 		return true
 	case 410:
 		// Too far behind: read everything again.
 		s.loaded = false
 	}
-	s.watchAt = max(s.watchAt, s.now+200*time.Millisecond)
+	s.nextWatchAt = max(s.nextWatchAt, s.now+200*time.Millisecond)
 	return false
 }
 
-// fresh calls f once the replica shows the state as of now or later, or with
+// linearizableRead calls f once the replica shows the state as of now or later, or with
 // false when the state service doesn't answer. Nothing else may back an
 // answer to a user: another node may have said something newer.
-func (s *State) fresh(f func(ok bool)) { s.waiters = append(s.waiters, f) }
+func (s *State) linearizableRead(f func(ok bool)) { s.pendingReads = append(s.pendingReads, f) }
 
-func (s *State) pumpSync() {
-	if len(s.waiters) == 0 || s.syncing || s.now < s.syncAt {
+func (s *State) sendLinearizableRead() {
+	if len(s.pendingReads) == 0 || s.readInFlight || s.now < s.nextReadAt {
 		return
 	}
-	if !s.loaded || s.storeAge() > s.storeGap() {
-		s.endSync(s.takeWaiters(), false)
+	if !s.loaded || s.sinceStoreContact() > s.storeContactTimeout() {
+		s.finishReads(s.takePendingReads(), false)
 		return
 	}
-	if !s.storeRate.AllowN(s.at(), 1) {
+	if !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
 	}
-	s.syncing = true
-	waiters := s.takeWaiters()
+	s.readInFlight = true
+	waiters := s.takePendingReads()
 	sent := s.now
-	s.store(StoreCall{Op: StoreWatch, Prefix: root, After: s.rev, Timeout: time.Second}, func(d StoreDone) {
-		s.syncing = false
+	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, Timeout: time.Second}, func(d StoreResult) {
+		s.readInFlight = false
 		// Spaced so that polls alone can't use up the request rate.
-		s.syncAt = sent + time.Duration(float64(4*s.ecf.Nodes)/s.cfg.StoreRPS*float64(time.Second))
-		s.endSync(waiters, s.news(d, sent))
+		s.nextReadAt = sent + time.Duration(float64(4*s.electionConfig.Nodes)/s.cfg.StoreRPS*float64(time.Second))
+		s.finishReads(waiters, s.applyWatchResult(d, sent))
 	})
 }
 
-func (s *State) takeWaiters() []func(bool) {
-	w := s.waiters
-	s.waiters = nil
+func (s *State) takePendingReads() []func(bool) {
+	w := s.pendingReads
+	s.pendingReads = nil
 	return w
 }
 
-func (s *State) endSync(waiters []func(bool), ok bool) {
+func (s *State) finishReads(waiters []func(bool), ok bool) {
 	for _, f := range waiters {
 		f(ok)
 	}
@@ -218,10 +220,10 @@
 // apply takes a key's new value, unless something newer is known. Watches,
 // syncs, nudges and our own writes may bring the same news in any order.
 func (s *State) apply(it Item) {
-	if it.Stamp <= s.stamps[it.Key] {
+	if it.ModRevision <= s.modRevisions[it.Key] {
 		return
 	}
-	s.stamps[it.Key] = it.Stamp
+	s.modRevisions[it.Key] = it.ModRevision
 	if it.Removed {
 		s.removed[it.Key] = true
 	} else {
@@ -231,45 +233,45 @@
 	case it.Key == keyTerm:
 		var v termValue
 		if json.Unmarshal(it.Value, &v) == nil {
-			s.term, s.termStamp, s.termNode = max(s.term, v.Term), it.Stamp, v.Node
-			s.shared(it.Stamp) // whoever won it has read all before
+			s.term, s.termModRevision, s.termWinner = max(s.term, v.Term), it.ModRevision, v.Node
+			s.shared(it.ModRevision) // whoever won it has read all before
 		}
-		s.superseded()
+		s.stepDownIfSuperseded()
 	case it.Key == keyLeader:
-		s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderStamp = "", 0, 0, 0
-		s.leaderGone = s.now
+		s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
+		s.leaderKeyGoneAt = s.now
 		if !it.Removed {
 			var v leaderValue
 			if json.Unmarshal(it.Value, &v) == nil {
-				s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderStamp = v.Node, v.Term, v.Lease, it.Stamp
+				s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = v.Node, v.Term, v.Lease, it.ModRevision
 			}
 		}
 	case it.Key == keyClusterVersion:
-		s.clusterVersionChanged(it)
-	case strings.HasPrefix(it.Key, dirVersions):
-		s.nodeVersionChanged(strings.TrimPrefix(it.Key, dirVersions), it)
+		s.applyClusterVersion(it)
+	case strings.HasPrefix(it.Key, prefixVersions):
+		s.applyControllerVersion(strings.TrimPrefix(it.Key, prefixVersions), it)
 	case it.Key == keyTypes:
-		s.typesStamp = it.Stamp
+		s.typesModRevision = it.ModRevision
 		s.typesFromStore(it.Value)
-	case strings.HasPrefix(it.Key, dirJobs):
-		s.jobChanged(strings.TrimPrefix(it.Key, dirJobs), it)
-	case strings.HasPrefix(it.Key, dirProgress):
+	case strings.HasPrefix(it.Key, prefixJobs):
+		s.jobChanged(strings.TrimPrefix(it.Key, prefixJobs), it)
+	case strings.HasPrefix(it.Key, prefixProgress):
 		if !it.Removed {
-			s.bitmapChanged(strings.TrimPrefix(it.Key, dirProgress), it)
+			s.bitmapChanged(strings.TrimPrefix(it.Key, prefixProgress), it)
 		}
-	case strings.HasPrefix(it.Key, dirPage):
-		s.pageChanged(strings.TrimPrefix(it.Key, dirPage), it)
-	case strings.HasPrefix(it.Key, dirMachine):
-		s.rosterChanged(strings.TrimPrefix(it.Key, dirMachine), it)
+	case strings.HasPrefix(it.Key, prefixPages):
+		s.applyPage(strings.TrimPrefix(it.Key, prefixPages), it)
+	case strings.HasPrefix(it.Key, prefixMachines):
+		s.applyMachineKey(strings.TrimPrefix(it.Key, prefixMachines), it)
 	}
 }
 
-// stamp is the version to guard a key with: 0 where it does not exist.
-func (s *State) stamp(key string) uint64 {
+// modRevision is the version to guard a key with: 0 where it does not exist.
+func (s *State) modRevision(key string) uint64 {
 	if s.removed[key] {
 		return 0
 	}
-	return s.stamps[key]
+	return s.modRevisions[key]
 }
 
 // leaderValue is the leader's key, kept by the lease Grant.
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -9,10 +9,10 @@
 // Workers' reports: which are news, which late copies, and what is answered.
 
 // takeReport takes a worker's report.
-func (s *State) takeReport(e ReportIn) {
-	s.unreached = false
+func (s *State) takeReport(e WorkerReport) {
+	s.steppedDownUnreached = false
 	r := &e.Report
-	if s.refuseReport(e.Req, r) {
+	if s.refuseReport(e.RequestID, r) {
 		return
 	}
 	_, known := s.machines[r.Host]
@@ -21,18 +21,18 @@
 		m.standing = s.foundFirst()
 	}
 	s.describe(m, r.Endpoint, r.Type, r.Zone, r.Spot)
-	s.sortReport(pendingReport{req: e.Req, m: m, r: r, at: s.now})
+	s.sortReport(pendingReport{req: e.RequestID, m: m, r: r, at: s.now})
 }
 
 // refuseReport answers a report that this node must not act on: it doesn't lead,
 // the machine was returned, or its worker has heard of a later leader.
 func (s *State) refuseReport(req uint64, r *model.Report) bool {
 	switch {
-	case !s.Leading() && s.leadership != nil && s.electedAt != 0:
+	case !s.IsLeader() && s.leadership != nil && s.electedAt != 0:
 		// Not caught up yet: neither a 200 nor a redirect.
 		s.refuseWorker(req, "not ready to lead")
-	case !s.Leading():
-		s.emit(Reply{Req: req, Status: 421, Body: Redirect{s.leaderName()}})
+	case !s.IsLeader():
+		s.emit(Reply{RequestID: req, Status: 421, Body: Redirect{s.currentLeader()}})
 	case s.recentlyReturned(r.Host):
 		// A late copy: the cloud has confirmed that the machine is gone.
 		s.refuseWorker(req, "machine was returned")
@@ -48,7 +48,7 @@
 
 // refuseWorker sends a worker to the next controller.
 func (s *State) refuseWorker(req uint64, why string) {
-	s.emit(Reply{Req: req, Status: 503, Body: Problem{why}})
+	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{why}})
 }
 
 // sortReport tells news of a machine from late copies of its reports.
@@ -98,7 +98,7 @@
 	s.lateDones(h.r)
 	s.askAgain(m)
 	m.lastReplyAt = max(m.lastReplyAt, m.heard)
-	if !s.clearSilence(m) {
+	if !s.clearUnresponsiveMark(m) {
 		s.pendingReports = append(s.pendingReports, h)
 		return
 	}
@@ -109,7 +109,7 @@
 // that has begun anew under the same name counts from the start again, and
 // must not be taken for its own late copy for ever.
 func (s *State) askAgain(m *machine) {
-	if m.direct || m.endpoint == "" || !s.mayProbe() || s.now < m.askedAt+s.cfg.ReportEvery {
+	if m.direct || m.endpoint == "" || !s.mayProbe() || s.now < m.askedAt+s.cfg.ReportInterval {
 		return
 	}
 	m.askedAt = s.now
@@ -182,7 +182,7 @@
 		s.command(m, nil, nil) // a new machine is of use as soon as it shows the epoch
 	}
 	m.lastReplyAt = s.now
-	if !s.clearSilence(m) || s.dirty {
+	if !s.clearUnresponsiveMark(m) || s.dirty {
 		// Place first, so that what was just freed is filled by this answer,
 		// and together with what other reports free in the same moment.
 		s.pendingReports = append(s.pendingReports, h)
--- a/internal/core/slow.go
+++ b/internal/core/slow.go
@@ -62,7 +62,7 @@
 		return
 	}
 	s.slowAt = s.now + time.Second
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if m.slow || !m.adopted {
 			continue
 		}
@@ -79,7 +79,7 @@
 		m.slow = true
 		s.dirty = true
 		s.log(slog.LevelInfo, "machine is slow", "host", m.host, "signs", signs, "term", s.leadership.Term)
-		for _, name := range ordered(m.tasks) {
+		for _, name := range sortedKeys(m.tasks) {
 			s.moveFromSlow(m.tasks[name])
 		}
 	}
--- a/internal/core/spare.go
+++ b/internal/core/spare.go
@@ -22,8 +22,8 @@
 const idlePart = 16
 
 func (s *State) newSpareRoom() *spareRoom {
-	r := &spareRoom{s: s, idle: 1 + len(s.order)/idlePart, service: s.serviceNeed()}
-	for _, m := range s.order {
+	r := &spareRoom{s: s, idle: 1 + len(s.machinesByName)/idlePart, service: s.serviceNeed()}
+	for _, m := range s.machinesByName {
 		r.room += s.serviceRoomOn(m, r.service)
 	}
 	r.gang, r.gangZone, r.gangRoom = s.gangRoom()
--- a/internal/core/stops_test.go
+++ b/internal/core/stops_test.go
@@ -46,9 +46,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := alone()
-			s.loaded, s.hasTouch, s.ready, s.settled = true, true, true, true
+			s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
 			s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
-			s.apply(Item{Key: dirJobs + "req-000001", Value: raw(jobValue{Phase: model.PhaseAborted}), Stamp: 6})
+			s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 			m := s.machine(host)
 			m.session, m.seq, m.adopted, m.rostered, m.up = 1, 5, true, true, true
 			r := c.report(s, m)
@@ -57,14 +57,14 @@
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: cancelled, Attempt: 9, State: model.TaskRunning})
 			}
 			started := s.epoch(m)
-			s.dirty, s.out = true, nil // so that a new report is answered after a round
-			s.takeReport(ReportIn{Req: 1, Report: *r})
+			s.dirty, s.effects = true, nil // so that a new report is answered after a round
+			s.takeReport(WorkerReport{RequestID: 1, Report: *r})
 			for _, task := range m.tasks {
 				s.kill(task, 0) // only now is the cancellation learnt
 			}
 			s.answerReports()
 			renewed := false
-			for _, e := range s.out {
+			for _, e := range s.effects {
 				reply, ok := e.(Reply)
 				if !ok || reply.Status != 200 {
 					continue
@@ -82,7 +82,7 @@
 				}
 			}
 			if !renewed {
-				t.Errorf("not answered 200: %v", s.out)
+				t.Errorf("not answered 200: %v", s.effects)
 			}
 		})
 	}
@@ -93,19 +93,19 @@
 // against one another. It stays within cancel_s wherever that is at least six fifths of
 // the lease.
 func TestCancelBound(t *testing.T) {
-	const slow = 1 - Drift // the slowest clock
+	const slow = 1 - ClockDrift // the slowest clock
 	for lease := 4.0; lease <= 120; lease += 0.5 {
 		for times := 1.2; times <= 6; times += 0.05 {
-			cfg := Config{Lease: time.Duration(lease * float64(time.Second)), CancelIn: time.Duration(lease * times * float64(time.Second)), Peers: []string{"a", "b"}}
+			cfg := Config{Lease: time.Duration(lease * float64(time.Second)), CancelWithin: time.Duration(lease * times * float64(time.Second)), Peers: []string{"a", "b"}}
 			s := New(cfg, 0)
-			leadership := election.NewLeadership(s.ecf, 0, 1, 0)
-			leadership.Read(0) // the cancellation is confirmed right after this
-			acts := float64(leadership.Current()) / slow
+			leadership := election.NewLeadership(s.electionConfig, 0, 1, 0)
+			leadership.RecordRead(0) // the cancellation is confirmed right after this
+			acts := float64(leadership.ViewValidUntil()) / slow
 			runs := float64(cfg.Lease) / slow
-			if gone := time.Duration(acts + runs); gone > cfg.CancelIn {
-				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v", cfg.Lease, cfg.CancelIn, gone)
+			if gone := time.Duration(acts + runs); gone > cfg.CancelWithin {
+				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v", cfg.Lease, cfg.CancelWithin, gone)
 			} else if bound := cfg.CancelBound(); gone > bound {
-				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v, the bound is %v", cfg.Lease, cfg.CancelIn, gone, bound)
+				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v, the bound is %v", cfg.Lease, cfg.CancelWithin, gone, bound)
 			}
 		}
 	}
--- a/internal/core/storecalls.go
+++ b/internal/core/storecalls.go
@@ -20,10 +20,10 @@
 	StoreRevoke StoreOp = "revoke"
 )
 
-// Guard demands that a key has a given version (0: does not exist).
-type Guard struct {
-	Key   string
-	Stamp uint64
+// Precondition demands that a key has a given version (0: does not exist).
+type Precondition struct {
+	Key         string
+	ModRevision uint64
 }
 
 // Change sets or removes a key.
@@ -36,36 +36,36 @@
 
 // StoreCall is a call to the state service.
 type StoreCall struct {
-	Call    uint64
-	Op      StoreOp
-	Prefix  string
-	From    string // list: starting after this key
-	After   uint64 // watch: revision
-	Block   time.Duration
-	Limit   int
-	Guards  []Guard
-	Then    []Change
-	Life    time.Duration // grant
-	Lease   uint64        // touch, revoke
-	Timeout time.Duration
+	CallID        uint64
+	Op            StoreOp
+	Prefix        string
+	StartAfter    string // list: starting after this key
+	AfterRevision uint64 // watch: revision
+	BlockTimeout  time.Duration
+	Limit         int
+	Preconditions []Precondition
+	Changes       []Change
+	TTL           time.Duration // grant
+	Lease         uint64        // touch, revoke
+	Timeout       time.Duration
 }
 
 // Item is a key as the state service returns it.
 type Item struct {
-	Key     string
-	Value   json.RawMessage
-	Stamp   uint64
-	Removed bool
+	Key         string
+	Value       json.RawMessage
+	ModRevision uint64
+	Removed     bool
 }
 
-// StoreDone ends a StoreCall. Status 0 means that no answer came.
-type StoreDone struct {
-	Call   uint64
-	Status int
-	Err    string
-	Rev    uint64
-	Items  []Item
-	More   bool
-	Lease  uint64
-	Failed []string
+// StoreResult ends a StoreCall. Status 0 means that no answer came.
+type StoreResult struct {
+	CallID     uint64
+	Status     int
+	Err        string
+	Revision   uint64
+	Items      []Item
+	More       bool
+	Lease      uint64
+	FailedKeys []string
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -7,7 +7,7 @@
 // submit takes a submission. What is refused for good is refused only once it is
 // sure that no such job was accepted: neither lowered limits nor a replica that
 // lags behind must have an accepted job answered with 400 or 422.
-func (s *State) submit(o origin, spec model.Job, wall int64) {
+func (s *State) submit(o requester, spec model.Job, wall int64) {
 	if len(s.types) == 0 {
 		s.later(o, "machine types are not known yet")
 		return
@@ -16,22 +16,22 @@
 		s.poll(o, spec.ID) // the same id again: the job's state
 		return
 	}
-	if spec.Kind == model.Gang && s.cfg.GangWait > 0 && s.clusterVersion < versionGangs {
+	if spec.Kind == model.Gang && s.cfg.GangWaitTimeout > 0 && s.clusterVersion < versionGangs {
 		// A controller of the former version may still take this job over.
 		s.later(o, "not all controllers know gangs yet")
 		return
 	}
-	value := raw(jobValue{Spec: &spec, At: wall})
-	pass := func() bool { return s.passOn(o, "submit", spec.ID, raw(spec), wall) }
+	value := mustMarshal(jobValue{Spec: &spec, At: wall})
+	pass := func() bool { return s.forwardToPeer(o, "submit", spec.ID, mustMarshal(spec), wall) }
 	if status, why := s.refusal(&spec, len(value)); status != 0 {
 		s.ifUnknown(o, spec.ID, func() { s.answer(o, status, Problem{why}, 0) }, pass)
 		return
 	}
 	switch {
-	case s.storeAge() > s.storeGap() && pass():
+	case s.sinceStoreContact() > s.storeContactTimeout() && pass():
 	case s.swamped():
 		s.later(o, "too many submissions under way")
-	case !s.loaded || s.storeAge() > 2*s.storeGap():
+	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
 		s.later(o, "the state service does not answer")
 	default:
 		s.storeJob(o, spec.ID, value, pass)
@@ -40,29 +40,29 @@
 
 // refusal says with which status a job is refused for good, and why; 0: it isn't.
 func (s *State) refusal(spec *model.Job, bytes int) (status int, why string) {
-	if spec.Kind == model.Gang && s.cfg.GangWait == 0 {
+	if spec.Kind == model.Gang && s.cfg.GangWaitTimeout == 0 {
 		return 400, "shape: gangs are not set up here"
 	}
 	if why := s.impossible(spec); why != "" {
 		return 422, why
 	}
-	if bytes > s.cfg.ValueBytes {
+	if bytes > s.cfg.MaxValueBytes {
 		return 400, "job description too long"
 	}
 	return 0, ""
 }
 
 // storeJob makes a submission durable and answers it; pass hands it to a peer.
-func (s *State) storeJob(o origin, id string, value []byte, pass func() bool) {
-	key := dirJobs + id
-	s.put(&write{
+func (s *State) storeJob(o requester, id string, value []byte, pass func() bool) {
+	key := prefixJobs + id
+	s.queueWrite(&write{
 		change:   Change{Key: key, Value: value},
 		deadline: s.now + userWait,
 		done: func(r outcome) {
 			j := s.jobs[id]
 			switch {
 			case r == written:
-				s.nudge(key, value)
+				s.notifyPeers(key, value)
 				s.answer(o, 201, JobStatus{ID: id, Phase: model.PhaseQueued}, 0)
 			case r == conflict && j != nil:
 				s.tell(o, j) // known by now, through another node or an earlier try
@@ -77,12 +77,12 @@
 
 // ifUnknown calls f if no such job was accepted, and answers with the job's
 // state otherwise. pass tries a peer if that can't be told here.
-func (s *State) ifUnknown(o origin, id string, f func(), pass func() bool) {
-	if len(s.waiters) >= s.cfg.Requests {
+func (s *State) ifUnknown(o requester, id string, f func(), pass func() bool) {
+	if len(s.pendingReads) >= s.cfg.MaxRequests {
 		s.later(o, "too many requests under way")
 		return
 	}
-	s.fresh(func(ok bool) {
+	s.linearizableRead(func(ok bool) {
 		switch j := s.jobs[id]; {
 		case !ok && pass():
 		case !ok:
--- a/internal/core/tasklist.go
+++ b/internal/core/tasklist.go
@@ -36,14 +36,14 @@
 	if len(m.orphans) > 0 {
 		clear(m.orphans)
 		m.stale = true
-		s.orphaned = slices.DeleteFunc(s.orphaned, func(o *machine) bool { return o == m })
+		s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(o *machine) bool { return o == m })
 	}
 	listed := make(map[string]bool, len(r.Tasks))
 	for _, p := range r.Tasks {
 		listed[p.Task] = true
 		s.piece(m, p, r)
 	}
-	for _, name := range ordered(m.tasks) {
+	for _, name := range sortedKeys(m.tasks) {
 		if !listed[name] {
 			s.notListed(m.tasks[name], r, own)
 		}
@@ -57,7 +57,7 @@
 	if m.answeredSeq != 0 && !m.lapsed && s.now-m.lastReplyAt < s.cfg.Lease/2 {
 		s.markUnreachable(m, "its lease ran out though it was answered")
 	}
-	for _, name := range ordered(m.tasks) {
+	for _, name := range sortedKeys(m.tasks) {
 		t := m.tasks[name]
 		if m.session != 0 && t.session < r.Session {
 			s.unbind(t, "new session")
@@ -131,7 +131,7 @@
 		return
 	}
 	if len(m.orphans) == 0 {
-		s.orphaned = append(s.orphaned, m)
+		s.machinesWithOrphans = append(s.machinesWithOrphans, m)
 	}
 	m.orphans[p.Task] = p
 	m.stale = true
@@ -178,7 +178,7 @@
 		m.downUntil = s.now + 2*s.backoff(m.errors)
 		s.log(slog.LevelInfo, "task failed", "task", t.name, "attempt", t.attempt, "host", m.host, "term", s.leadership.Term)
 	case model.CauseNoRoom, model.CauseBusy:
-		m.downUntil = s.now + s.cfg.ReportEvery
+		m.downUntil = s.now + s.cfg.ReportInterval
 		s.log(slog.LevelInfo, "start refused", "task", t.name, "attempt", t.attempt, "host", m.host, "cause", p.Cause, "term", s.leadership.Term)
 	case model.CauseUnknown:
 		j.errors++
@@ -191,5 +191,5 @@
 // tasks of an array that failed together on one bad machine kept the whole job
 // from all others for minutes where reports are rare.
 func (s *State) backoff(n int) time.Duration {
-	return min(s.cfg.ReportEvery<<min(n-1, 5), s.cfg.Lease)
+	return min(s.cfg.ReportInterval<<min(n-1, 5), s.cfg.Lease)
 }
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -112,7 +112,7 @@
 
 // recalls clears machines that the cloud is about to take.
 func (s *State) recalls() {
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if m.recallAt == 0 || !m.adopted {
 			continue
 		}
@@ -123,7 +123,7 @@
 				s.kill(t, 0)
 				continue
 			}
-			margin := time.Duration(t.job.SaveCost*float64(time.Second)) + s.cfg.ReportEvery
+			margin := time.Duration(t.job.SaveCost*float64(time.Second)) + s.cfg.ReportInterval
 			if !t.killing && s.now >= m.recallAt-margin {
 				s.kill(t, t.job.SaveCost*1.25)
 			}
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -10,16 +10,16 @@
 
 // leadershipTransfer is what a leader has said of the machines when its term was over.
 type leadershipTransfer struct {
-	term uint64
-	at   time.Duration  // of its receipt: later than it was said, never earlier
-	ages map[string]int // ms since each was last answered
+	term         uint64
+	receivedAt   time.Duration  // of its receipt: later than it was said, never earlier
+	sinceReplyMs map[string]int // ms since each was last answered
 }
 
 // transferLeadership tells the peers, once this term has ended for good.
 func (s *State) transferLeadership(term uint64) {
 	ages := map[string]int{}
-	for _, m := range s.order {
-		if ago := s.now - m.lastReplyAt; m.rostered && ago > s.cfg.ReportEvery {
+	for _, m := range s.machinesByName {
+		if ago := s.now - m.lastReplyAt; m.rostered && ago > s.cfg.ReportInterval {
 			ages[m.host] = int(ago / time.Millisecond)
 		}
 	}
@@ -27,30 +27,30 @@
 		return
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgUnanswered, Term: term, Counts: ages}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgLeadershipTransfer, Term: term, Counts: ages}})
 	}
 }
 
-// takenFrom takes that in. It may come before this node is elected, or after.
-func (s *State) takenFrom(m PeerMsg) {
+// handleTransfer takes that in. It may come before this node is elected, or after.
+func (s *State) handleTransfer(m PeerMsg) {
 	if m.Term <= s.transfer.term {
 		return // a copy, which tells a later time of the same; or of a term before
 	}
 	s.transfer = leadershipTransfer{m.Term, s.now, m.Counts}
-	if !s.Leading() {
+	if !s.IsLeader() {
 		return
 	}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if m.rostered && !m.up && m.answeredEpoch == 0 {
-			m.lastReplyAt = min(m.lastReplyAt, s.lastAnswered(m))
+			m.lastReplyAt = min(m.lastReplyAt, s.latestPossibleReplyAt(m))
 		}
 	}
 }
 
-// handedOver is when m was last answered, as far as the leader before this one
+// transferredReplyAt is when m was last answered, as far as the leader before this one
 // has said. What an earlier one has said is of no use: the one between may have
 // answered m since.
-func (s *State) handedOver(m *machine) (time.Duration, bool) {
-	ms, ok := s.transfer.ages[m.host]
-	return s.transfer.at - time.Duration(ms)*time.Millisecond, ok && s.transfer.term == s.before
+func (s *State) transferredReplyAt(m *machine) (time.Duration, bool) {
+	ms, ok := s.transfer.sinceReplyMs[m.host]
+	return s.transfer.receivedAt - time.Duration(ms)*time.Millisecond, ok && s.transfer.term == s.previousTerm
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -15,9 +15,9 @@
 
 // Goal is what is expected of the jobs of a class.
 type Goal struct {
-	Start  time.Duration // tasks should start within; 0: nothing is said
-	Finish time.Duration // jobs should be done within; 0: nothing is said
-	Due    float64       // jobs should be done within their due time this many times; 0: nothing is said
+	StartWithin  time.Duration // tasks should start within; 0: nothing is said
+	FinishWithin time.Duration // jobs should be done within; 0: nothing is said
+	DueFactor    float64       // jobs should be done within their due time this many times; 0: nothing is said
 }
 
 // Team is what a team is guaranteed and may use at most (0: no limit).
@@ -27,73 +27,73 @@
 
 // Config is everything that core takes from the settings.
 type Config struct {
-	Self  string
-	Peers []string
-	Boot  uint64 // differs between lives of this node; seeds its random source
-	Teams map[string]Team
-	Goals map[string]Goal // by class: what its users expect
-
-	ReportEvery time.Duration
-	Lease       time.Duration
-	CancelIn    time.Duration
-	// GangWait is how long a gang's task waits for the others, GangPeer how soon
+	Self        string
+	Peers       []string
+	Incarnation uint64 // differs between lives of this node; seeds its random source
+	Teams       map[string]Team
+	Goals       map[string]Goal // by class: what its users expect
+
+	ReportInterval time.Duration
+	Lease          time.Duration
+	CancelWithin   time.Duration
+	// GangWaitTimeout is how long a gang's task waits for the others, GangPeer how soon
 	// it notices that one is gone. 0: no gangs.
-	GangWait, GangPeer time.Duration
+	GangWaitTimeout, GangPeerTimeout time.Duration
 	// Version is the newest version of messages and stored values that this program
 	// knows: NewestVersion, but in tests that play a former version.
-	Version int
-	Skew    time.Duration // bound on how far the time of day is off; 0: not known
+	Version      int
+	MaxClockSkew time.Duration // bound on how far the time of day is off; 0: not known
 
-	StoreRPS    float64
-	StoreWrites float64
-	ValueBytes  int
-	TxnOps      int
-	CloudRPS    float64
-	ListLag     time.Duration
+	StoreRPS      float64
+	StoreWriteRPS float64
+	MaxValueBytes int
+	MaxTxnOps     int
+	CloudRPS      float64
+	ListLag       time.Duration
 
-	Directs  int // direct commands under way at a time
-	Requests int // users' and workers' requests under way at a time
+	MaxDirectCommands int // direct commands under way at a time
+	MaxRequests       int // users' and workers' requests under way at a time
 
 	Tuning
 
 	// DebugLog says that lines of the debug level are wanted.
 	DebugLog bool
 
-	// Budget is the time that one round of decisions may take (0: any), and
+	// RoundBudget is the time that one round of decisions may take (0: any), and
 	// Stopwatch starts a measurement whose result tells how much has passed.
 	// Nil: no time passes.
-	Budget    time.Duration
-	Stopwatch func() func() time.Duration
+	RoundBudget time.Duration
+	Stopwatch   func() func() time.Duration
 }
 
 // Tuning holds what operators may set themselves.
 type Tuning struct {
-	SkipLimit     int           // design's limit on being passed
-	WriteEvery    time.Duration // bitmap writes of one job
-	IdleReturn    float64       // keep an idle machine for this many boot times
-	GiveUpBoot    float64       // give up a machine after this many boot times
-	Patience      float64       // part of a job's spare time that may pass before dearer machines are rented
-	SpareServices int           // service tasks for which room is kept free
-	SpareGangs    int           // gangs for which room is kept free
-	MaxMachines   int           // never rent beyond this; 0: whatever the cloud has
+	SkipLimit           int           // design's limit on being passed
+	BitmapWriteInterval time.Duration // bitmap writes of one job
+	IdleBoots           float64       // keep an idle machine for this many boot times
+	GiveUpBoots         float64       // give up a machine after this many boot times
+	Patience            float64       // part of a job's spare time that may pass before dearer machines are rented
+	SpareServices       int           // service tasks for which room is kept free
+	SpareGangs          int           // gangs for which room is kept free
+	MaxMachines         int           // never rent beyond this; 0: whatever the cloud has
 }
 
 // DefaultTuning is in force where the operator says nothing.
 func DefaultTuning() Tuning {
 	return Tuning{
-		SkipLimit:     25,
-		WriteEvery:    2 * time.Second,
-		IdleReturn:    0.5,
-		GiveUpBoot:    4,
-		Patience:      0.25,
-		SpareServices: 2,
-		SpareGangs:    1,
+		SkipLimit:           25,
+		BitmapWriteInterval: 2 * time.Second,
+		IdleBoots:           0.5,
+		GiveUpBoots:         4,
+		Patience:            0.25,
+		SpareServices:       2,
+		SpareGangs:          1,
 	}
 }
 
-// Drift bounds how far the steady clocks of two machines drift apart,
+// ClockDrift bounds how far the steady clocks of two machines drift apart,
 // relative to the time measured (PROTOCOL).
-const Drift = 0.0005
+const ClockDrift = 0.0005
 
 // Event is one thing that happened: one of the types below.
 type Event any
@@ -103,46 +103,46 @@
 
 // Tick lets time-driven work happen. Wall is the time of day in milliseconds;
 // it serves to tell the age of a job, never to decide who may act.
-type Tick struct{ Wall int64 }
+type Tick struct{ WallMs int64 }
 
 // Submit is a user's submission, checked for form by the edge. Wall is the
 // time of day in milliseconds.
 type Submit struct {
-	Req  uint64
-	Job  model.Job
-	Wall int64
+	RequestID uint64
+	Job       model.Job
+	WallMs    int64
 }
 
 // Poll asks for a job's state, Withdraw cancels it.
 type Poll struct {
-	Req uint64
-	ID  string
+	RequestID uint64
+	ID        string
 }
 
-// Withdraw is a user's cancellation.
-type Withdraw struct {
-	Req uint64
-	ID  string
+// Cancel is a user's cancellation.
+type Cancel struct {
+	RequestID uint64
+	ID        string
 }
 
-// Up is a health check.
-type Up struct{ Req uint64 }
+// HealthCheck is a health check.
+type HealthCheck struct{ RequestID uint64 }
 
-// ReportIn is a worker's report on its own initiative.
-type ReportIn struct {
-	Req    uint64
-	Report model.Report
+// WorkerReport is a worker's report on its own initiative.
+type WorkerReport struct {
+	RequestID uint64
+	Report    model.Report
 }
 
 // Reply answers a user, a worker or a health check. When Until is set, the
 // edge sends it only before that time: a starved processor must not let an
 // answer out after the entitlement behind it has ended.
 type Reply struct {
-	Req        uint64
+	RequestID  uint64
 	Status     int
 	Body       any
 	RetryAfter int // seconds; 0: none
-	Until      time.Duration
+	SendBefore time.Duration
 }
 
 // JobStatus is the body of answers to users.
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -29,14 +29,14 @@
 
 // versionState is what concerns the version in use.
 type versionState struct {
-	raisingVersion bool          // the write of the cluster version is under way
-	versionNoted   bool          // this controller's own version is in the state service
-	ownVersion     int           // as noted there, perhaps by an earlier life
-	noteVersionAt  time.Duration // not before
+	raisingVersion   bool          // the write of the cluster version is under way
+	ownVersionStored bool          // this controller's own version is in the state service
+	storedOwnVersion int           // as noted there, perhaps by an earlier life
+	storeVersionAt   time.Duration // not before
 }
 
-// clusterVersionChanged takes the key of the version in use. It never falls.
-func (s *State) clusterVersionChanged(it Item) {
+// applyClusterVersion takes the key of the version in use. It never falls.
+func (s *State) applyClusterVersion(it Item) {
 	var v clusterVersionValue
 	if !it.Removed && json.Unmarshal(it.Value, &v) == nil && v.Version > s.clusterVersion {
 		s.clusterVersion = v.Version
@@ -44,99 +44,99 @@
 	}
 }
 
-// nodeVersionValue is the newest version that a controller knows, as it has
+// controllerVersionValue is the newest version that a controller knows, as it has
 // noted itself in the state service.
-type nodeVersionValue struct {
+type controllerVersionValue struct {
 	Version int `json:"forms"`
 }
 
-// nodeVersionChanged takes a controller's note. What came last counts: the note
+// applyControllerVersion takes a controller's note. What came last counts: the note
 // or what the controller says.
-func (s *State) nodeVersionChanged(node string, it Item) {
-	var v nodeVersionValue
+func (s *State) applyControllerVersion(node string, it Item) {
+	var v controllerVersionValue
 	if !it.Removed && json.Unmarshal(it.Value, &v) != nil {
 		s.log(slog.LevelError, "unreadable note of a version", "controller", node)
 		return
 	}
 	if node == s.cfg.Self {
-		s.ownVersion, s.versionNoted = v.Version, s.versionNoted && !it.Removed
+		s.storedOwnVersion, s.ownVersionStored = v.Version, s.ownVersionStored && !it.Removed
 		return
 	}
 	if p := s.peers[node]; p != nil {
-		p.noted = !it.Removed
-		if p.noted {
+		p.versionStored = !it.Removed
+		if p.versionStored {
 			p.version = v.Version
 		}
 	}
 }
 
-// noteVersion writes down, once after a start, which version this controller
+// storeOwnVersion writes down, once after a start, which version this controller
 // knows. A leader elected later needs no word of it then: without the note, gangs
 // were refused for as long as a controller that had been changed over was out of
 // the leader's reach.
-func (s *State) noteVersion() {
-	if s.cfg.Version == versionFirst || s.clusterVersion >= s.cfg.Version || s.versionNoted {
+func (s *State) storeOwnVersion() {
+	if s.cfg.Version == versionFirst || s.clusterVersion >= s.cfg.Version || s.ownVersionStored {
 		return
 	}
 	// A cluster that is new altogether raises its version at once.
-	if !s.storeOK() || s.now < max(s.noteVersionAt, s.born+s.ecf.Promise/4) {
+	if !s.isStoreReachable() || s.now < max(s.storeVersionAt, s.startedAt+s.electionConfig.PromiseDuration/4) {
 		return
 	}
-	key := dirVersions + s.cfg.Self
-	if s.ownVersion == s.cfg.Version && s.stamp(key) != 0 {
-		s.versionNoted = true
+	key := prefixVersions + s.cfg.Self
+	if s.storedOwnVersion == s.cfg.Version && s.modRevision(key) != 0 {
+		s.ownVersionStored = true
 		return
 	}
-	s.noteVersionAt = s.now + s.ecf.Promise
-	s.put(&write{
-		change: Change{Key: key, Value: raw(nodeVersionValue{s.cfg.Version})}, deadline: s.noteVersionAt, class: classRoster,
-		done: func(r outcome) { s.versionNoted = s.versionNoted || r == written },
+	s.storeVersionAt = s.now + s.electionConfig.PromiseDuration
+	s.queueWrite(&write{
+		change: Change{Key: key, Value: mustMarshal(controllerVersionValue{s.cfg.Version})}, deadline: s.storeVersionAt, class: classRegistry,
+		done: func(r outcome) { s.ownVersionStored = s.ownVersionStored || r == written },
 	})
 }
 
-// heardVersion takes the version that a controller says it knows. One that was
+// handlePeerVersion takes the version that a controller says it knows. One that was
 // changed back must not be counted on by its note; late words of its earlier life
 // cost no more than the note.
-func (s *State) heardVersion(node string, version int) {
+func (s *State) handlePeerVersion(node string, version int) {
 	p := s.peers[node]
 	p.version = version
-	if version >= s.cfg.Version || !p.noted || !s.Leading() {
+	if version >= s.cfg.Version || !p.versionStored || !s.IsLeader() {
 		return
 	}
-	p.noted = false
+	p.versionStored = false
 	s.log(slog.LevelInfo, "a controller runs a former version again", "controller", node, "version", version)
-	s.put(&write{
-		change: Change{Key: dirVersions + node, Remove: true}, leader: s.leadership.Term,
-		deadline: s.now + time.Hour, class: classRoster, done: func(outcome) {},
+	s.queueWrite(&write{
+		change: Change{Key: prefixVersions + node, Remove: true}, leaderTerm: s.leadership.Term,
+		deadline: s.now + time.Hour, class: classRegistry, done: func(outcome) {},
 	})
 }
 
 // raiseClusterVersion notes that every controller knows the newest version, or
 // that there is nothing yet that another may have written.
 func (s *State) raiseClusterVersion() {
-	if s.clusterVersion >= s.cfg.Version || s.raisingVersion || !s.Leading() {
+	if s.clusterVersion >= s.cfg.Version || s.raisingVersion || !s.IsLeader() {
 		return
 	}
 	for _, p := range s.peers {
-		if !s.firstTerm && !s.knowsNewest(p) {
+		if !s.firstTerm && !s.knowsNewestVersion(p) {
 			return
 		}
 	}
 	s.raisingVersion = true
-	s.put(&write{
-		change: Change{Key: keyClusterVersion, Value: raw(clusterVersionValue{s.cfg.Version})}, leader: s.leadership.Term,
-		deadline: s.now + 10*time.Second, class: classRoster,
+	s.queueWrite(&write{
+		change: Change{Key: keyClusterVersion, Value: mustMarshal(clusterVersionValue{s.cfg.Version})}, leaderTerm: s.leadership.Term,
+		deadline: s.now + 10*time.Second, class: classRegistry,
 		done: func(outcome) { s.raisingVersion = false },
 	})
 }
 
-// knowsNewest says whether a controller surely knows this one's version: it has
+// knowsNewestVersion says whether a controller surely knows this one's version: it has
 // just said so, or its last word or note said so and it could not be reached since
 // the election. A controller in reach is heard well within two promises, also one
 // that was changed back after its note.
-func (s *State) knowsNewest(p *peerState) bool {
+func (s *State) knowsNewestVersion(p *peerState) bool {
 	if p.version < s.cfg.Version {
 		return false
 	}
-	return s.now-p.heard <= s.ecf.Promise || s.now-s.electedAt > 2*s.ecf.Promise
+	return s.now-p.heardAt <= s.electionConfig.PromiseDuration || s.now-s.electedAt > 2*s.electionConfig.PromiseDuration
 }
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -16,9 +16,9 @@
 	"mulleinfall/internal/model"
 )
 
-// sample is a message or stored value as a former version made it: for messages
+// keptSample is a message or stored value as a former version made it: for messages
 // the fields and the bytes, for values the key and the JSON.
-type sample struct{ kind, name, fields, bytes string }
+type keptSample struct{ kind, name, fields, bytes string }
 
 // The kept samples: of the version in production, and of the first that runs
 // gangs, from which clusters may be rolled over as well.
@@ -27,18 +27,18 @@
 	firstGangs = "testdata/first-gangs.txt"
 )
 
-func samples(t *testing.T, file string) []sample {
+func readSamples(t *testing.T, file string) []keptSample {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var list []sample
+	var list []keptSample
 	for _, line := range strings.Split(string(text), "\n") {
 		switch {
 		case strings.HasPrefix(line, "message "), strings.HasPrefix(line, "value "):
 			kind, name, _ := strings.Cut(line, " ")
-			list = append(list, sample{kind: kind, name: name})
+			list = append(list, keptSample{kind: kind, name: name})
 		case strings.HasPrefix(line, "  ") && list[len(list)-1].fields == "":
 			list[len(list)-1].fields = strings.TrimSpace(line)
 		case strings.HasPrefix(line, "  "):
@@ -48,12 +48,12 @@
 	return list
 }
 
-// TestReadsFormerMessages: what a former version says to another controller is
+// TestReadsPreviousVersionMessages: what a former version says to another controller is
 // understood as it was meant.
-func TestReadsFormerMessages(t *testing.T) {
+func TestReadsPreviousVersionMessages(t *testing.T) {
 	for file, kinds := range map[string]int{production: 16, firstGangs: 15} {
 		read := 0
-		for _, x := range samples(t, file) {
+		for _, x := range readSamples(t, file) {
 			if x.kind != "message" {
 				continue
 			}
@@ -81,12 +81,12 @@
 	}
 }
 
-// TestSaysWhatFormersRead: a message of the present version has, under the same
+// TestPreviousVersionsReadMessages: a message of the present version has, under the same
 // names and as the same kinds of values, what a former one put into it, and
 // nothing else but the number of the version, which the one in production ignores.
-func TestSaysWhatFormersRead(t *testing.T) {
+func TestPreviousVersionsReadMessages(t *testing.T) {
 	for _, file := range []string{production, firstGangs} {
-		for _, x := range samples(t, file) {
+		for _, x := range readSamples(t, file) {
 			if x.kind != "message" {
 				continue
 			}
@@ -123,11 +123,11 @@
 	s := alone()
 	stamp := uint64(10)
 	stored := map[string]string{}
-	for _, x := range samples(t, firstGangs) {
+	for _, x := range readSamples(t, firstGangs) {
 		if x.kind == "value" {
 			stamp++
 			stored[x.name] = x.fields
-			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), Stamp: stamp})
+			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), ModRevision: stamp})
 		}
 	}
 	if s.clusterVersion != versionGangs || s.term != 10 || s.leaderNode != "n2" {
@@ -142,10 +142,10 @@
 	for _, key := range []string{"mf/j/req-300001", "mf/forms", "mf/r/1", "mf/leader", "mf/term"} {
 		var again any
 		switch dir, fields := key, stored[key]; {
-		case strings.HasPrefix(dir, dirJobs):
+		case strings.HasPrefix(dir, prefixJobs):
 			again = readAs[jobValue](t, fields)
-		case strings.HasPrefix(dir, dirPage):
-			again = readAs[map[string]rosterValue](t, fields)
+		case strings.HasPrefix(dir, prefixPages):
+			again = readAs[map[string]machineRecord](t, fields)
 		case dir == keyClusterVersion:
 			again = readAs[clusterVersionValue](t, fields)
 		case dir == keyLeader:
@@ -153,16 +153,16 @@
 		case dir == keyTerm:
 			again = readAs[termValue](t, fields)
 		}
-		if got := string(raw(again)); got != stored[key] {
+		if got := string(mustMarshal(again)); got != stored[key] {
 			t.Errorf("%s: written again as\n%s, was\n%s", key, got, stored[key])
 		}
 	}
 	// Of a job that goes on: each third of its tasks is done, in three parts.
 	s = alone()
-	s.apply(Item{Key: dirJobs + "req-000010", Value: raw(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 7000}}), Stamp: 5})
+	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 7000}}), ModRevision: 5})
 	for _, part := range []string{"0", "0.1", "0.2"} {
 		stamp++
-		s.apply(Item{Key: dirProgress + "req-000010/" + part, Value: json.RawMessage(stored[dirProgress+"req-000010/"+part]), Stamp: stamp})
+		s.apply(Item{Key: prefixProgress + "req-000010/" + part, Value: json.RawMessage(stored[prefixProgress+"req-000010/"+part]), ModRevision: stamp})
 	}
 	if j := s.jobs["req-000010"]; j.doneCount != 2334 || !j.isDone(6999) || j.isDone(6998) {
 		t.Errorf("%d of 2334 finished tasks read", j.doneCount)
@@ -184,10 +184,10 @@
 func TestReadsProductionValues(t *testing.T) {
 	s := alone()
 	stamp := uint64(10)
-	for _, x := range samples(t, production) {
+	for _, x := range readSamples(t, production) {
 		if x.kind == "value" {
 			stamp++
-			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), Stamp: stamp})
+			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), ModRevision: stamp})
 		}
 	}
 	j := s.jobs["req-000105"]
@@ -210,11 +210,11 @@
 	}
 	// Progress, for a job that goes on, and a machine's own key as versions
 	// before the pages wrote it.
-	s.apply(Item{Key: dirJobs + "req-000010", Value: raw(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), Stamp: 5})
+	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
 	s = alone()
-	s.apply(Item{Key: dirJobs + "req-000010", Value: raw(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), Stamp: 5})
-	s.apply(Item{Key: dirProgress + "req-000010/0", Value: json.RawMessage(`{"b":"/wc="}`), Stamp: 6})
-	s.apply(Item{Key: dirMachine + "n-7", Value: json.RawMessage(`{"endpoint":"e","type":"small","zone":"a","standing":true}`), Stamp: 7})
+	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
+	s.apply(Item{Key: prefixProgress + "req-000010/0", Value: json.RawMessage(`{"b":"/wc="}`), ModRevision: 6})
+	s.apply(Item{Key: prefixMachines + "n-7", Value: json.RawMessage(`{"endpoint":"e","type":"small","zone":"a","standing":true}`), ModRevision: 7})
 	if j := s.jobs["req-000010"]; j.doneCount != 11 || !j.durable(10) || j.durable(11) {
 		t.Errorf("%d of 11 finished tasks read", j.doneCount)
 	}
@@ -223,10 +223,10 @@
 	}
 }
 
-// TestKnowsNewest: a controller's note counts once it has had the time to say
+// TestKnowsNewestVersion: a controller's note counts once it has had the time to say
 // otherwise. What it says counts at once, and takes an outdated note away for
 // the leaders to come, which have not heard it.
-func TestKnowsNewest(t *testing.T) {
+func TestKnowsNewestVersion(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		note        int           // the version that it has noted
@@ -245,21 +245,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := alone()
 			s.cfg.Version, s.cfg.Peers, s.peers = NewestVersion, []string{"n1"}, map[string]*peerState{"n1": {}}
-			s.loaded, s.hasTouch, s.ready, s.leadership = true, true, true, newLeadership(s)
+			s.loaded, s.hasContact, s.caughtUp, s.leadership = true, true, true, newLeadership(s)
 			s.now = 10 * time.Minute
-			s.leadership.Promised(s.now, "n0", s.now)
+			s.leadership.RecordPromise(s.now, "n0", s.now)
 			s.electedAt = s.now - c.elected
 			if c.note > 0 {
-				s.apply(Item{Key: dirVersions + "n1", Value: raw(nodeVersionValue{c.note}), Stamp: 5})
+				s.apply(Item{Key: prefixVersions + "n1", Value: mustMarshal(controllerVersionValue{c.note}), ModRevision: 5})
 			}
 			if c.says >= 0 {
-				s.heardVersion("n1", c.says)
-				s.peers["n1"].heard = s.now - c.ago
+				s.handlePeerVersion("n1", c.says)
+				s.peers["n1"].heardAt = s.now - c.ago
 			}
-			if got := s.knowsNewest(s.peers["n1"]); got != c.known {
+			if got := s.knowsNewestVersion(s.peers["n1"]); got != c.known {
 				t.Errorf("counts as knowing the newest version: %v, want %v", got, c.known)
 			}
-			removed := slices.ContainsFunc(s.queue, func(w *write) bool { return w.change.Remove && w.change.Key == dirVersions+"n1" })
+			removed := slices.ContainsFunc(s.queue, func(w *write) bool { return w.change.Remove && w.change.Key == prefixVersions+"n1" })
 			if removed == c.kept {
 				t.Errorf("the note is taken away: %v, want %v", removed, !c.kept)
 			}
@@ -274,10 +274,10 @@
 	const tasks = 30000
 	leader := func(version int) (*State, *job) {
 		s := alone()
-		s.cfg.ValueBytes, s.clusterVersion = 2048, version
-		s.loaded, s.hasTouch, s.ready = true, true, true
+		s.cfg.MaxValueBytes, s.clusterVersion = 2048, version
+		s.loaded, s.hasContact, s.caughtUp = true, true, true
 		s.leadership = newLeadership(s)
-		s.apply(Item{Key: dirJobs + "req-000001", Value: raw(jobValue{Spec: &model.Job{ID: "req-000001", Tasks: tasks, Kind: model.Batch}}), Stamp: 5})
+		s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Tasks: tasks, Kind: model.Batch}}), ModRevision: 5})
 		return s, s.jobs["req-000001"]
 	}
 	write := func(s *State, j *job) map[string][]byte {
@@ -304,7 +304,7 @@
 				t.Errorf("version %d: %s has %d bytes", c.version, key, len(out[key]))
 			}
 			stamp++
-			again.apply(Item{Key: key, Value: out[key], Stamp: stamp})
+			again.apply(Item{Key: key, Value: out[key], ModRevision: stamp})
 		}
 		if want := tasks; c.version == versionGangs && k.doneCount != want || c.version == versionFirst && (k.doneCount < 10000 || k.doneCount == want) {
 			t.Errorf("version %d: %d of %d finished tasks read back", c.version, k.doneCount, tasks)
@@ -316,7 +316,7 @@
 	for i := range big {
 		big[i] = 0xff
 	}
-	s.apply(Item{Key: dirProgress + "req-000001/0", Value: raw(map[string][]byte{"b": big}), Stamp: 6})
+	s.apply(Item{Key: prefixProgress + "req-000001/0", Value: mustMarshal(map[string][]byte{"b": big}), ModRevision: 6})
 	if j.doneCount != tasks/8*8 {
 		t.Fatalf("%d finished tasks read from the large value", j.doneCount)
 	}
@@ -325,18 +325,18 @@
 	}
 }
 
-// TestPagesThinnedOut: a page of the roster that a former version left larger
+// TestOversizedPageIsSplit: a page of the roster that a former version left larger
 // than values may be now is spread over others, which are written before it.
-func TestPagesThinnedOut(t *testing.T) {
+func TestOversizedPageIsSplit(t *testing.T) {
 	s := alone()
-	s.cfg.ValueBytes, s.cfg.TxnOps = 2048, 4
-	s.loaded, s.hasTouch = true, true
-	hosts := map[string]rosterValue{}
+	s.cfg.MaxValueBytes, s.cfg.MaxTxnOps = 2048, 4
+	s.loaded, s.hasContact = true, true
+	hosts := map[string]machineRecord{}
 	for i := range 40 {
-		hosts[model.TaskName("n", 100+i)] = rosterValue{Endpoint: "10.1.0.7:9000", Type: "biniou-quatre", Zone: "quimper-a", Standing: true}
+		hosts[model.TaskName("n", 100+i)] = machineRecord{Endpoint: "10.1.0.7:9000", Type: "biniou-quatre", Zone: "quimper-a", Preexisting: true}
 	}
-	s.apply(Item{Key: dirPage + "1", Value: raw(hosts), Stamp: 5})
-	s.leadership, s.ready = newLeadership(s), true
+	s.apply(Item{Key: prefixPages + "1", Value: mustMarshal(hosts), ModRevision: 5})
+	s.leadership, s.caughtUp = newLeadership(s), true
 	s.takeOver()
 	s.page(1).dirty = true
 	at := map[string]int{} // machine: page, as stored
@@ -345,28 +345,28 @@
 	}
 	for now := time.Second; now < 30*time.Second && len(s.pageHosts) < 6; now += time.Second {
 		s.now = now
-		s.writerAt = 0
-		s.keepRoster()
+		s.nextTxnAt = 0
+		s.maintainRegistry()
 		s.storeRate.SetBurst(1000)
 		s.writeRate.SetBurst(1000)
-		for s.pumpWriter(); ; s.pumpWriter() {
-			c, ok := storeCall(s.out, StoreTxn)
-			s.out = nil
+		for s.sendNextTxn(); ; s.sendNextTxn() {
+			c, ok := storeCall(s.effects, StoreTxn)
+			s.effects = nil
 			if !ok {
 				break
 			}
-			if len(c.Then) > 4 {
-				t.Errorf("%d changes in a transaction", len(c.Then))
+			if len(c.Changes) > 4 {
+				t.Errorf("%d changes in a transaction", len(c.Changes))
 			}
-			for _, ch := range c.Then {
+			for _, ch := range c.Changes {
 				if len(ch.Value) > 2048 {
 					t.Errorf("%s has %d bytes", ch.Key, len(ch.Value))
 				}
-				var v map[string]rosterValue
+				var v map[string]machineRecord
 				if json.Unmarshal(ch.Value, &v) != nil {
 					t.Fatalf("%s: %s", ch.Key, ch.Value)
 				}
-				if ch.Key == dirPage+"1" {
+				if ch.Key == prefixPages+"1" {
 					for host := range hosts {
 						if _, on := v[host]; !on && at[host] == 1 {
 							t.Errorf("%s is on no page", host)
@@ -377,7 +377,7 @@
 					at[host] = int(ch.Key[len(ch.Key)-1] - '0')
 				}
 			}
-			s.done(c.Call, StoreDone{Call: c.Call, Status: 200, Rev: 100 + s.seq})
+			s.completeCall(c.CallID, StoreResult{CallID: c.CallID, Status: 200, Revision: 100 + s.lastCallID})
 		}
 	}
 	pages := map[int]int{}
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -21,7 +21,7 @@
 
 // silence is how long a machine may go without a report before it counts as
 // silent.
-func (s *State) silence() time.Duration { return 2*s.cfg.ReportEvery + s.cfg.Lease/8 }
+func (s *State) silence() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
 
 // refreshView works out m's free room and what runs on it, if anything has
 // changed since it was last done.
@@ -90,7 +90,7 @@
 	elapsed  func() time.Duration
 }
 
-func (e *roundEnv) Spent() bool { return e.s.cfg.Budget > 0 && e.elapsed() >= e.s.cfg.Budget }
+func (e *roundEnv) Spent() bool { return e.s.cfg.RoundBudget > 0 && e.elapsed() >= e.s.cfg.RoundBudget }
 
 func (e *roundEnv) markTouched(m *machine) {
 	if !slices.Contains(e.touched, m) {
@@ -136,7 +136,7 @@
 		return false
 	}
 	used := s.teams[j.Team]
-	for _, m := range s.orphaned {
+	for _, m := range s.machinesWithOrphans {
 		for name := range m.orphans {
 			o := s.orphanJob(name)
 			if o == nil {
--- a/internal/core/wants.go
+++ b/internal/core/wants.go
@@ -51,7 +51,7 @@
 func (s *State) coming() []fleet.Coming {
 	var list []fleet.Coming
 	horizon := s.now + s.soonestBoot()
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if s.zones[m.zone].silent || m.typ == nil || m.returning || m.dead || m.lapsed || m.slow || m.recallAt != 0 {
 			continue
 		}
@@ -85,10 +85,10 @@
 
 // age is how long ago j was submitted.
 func (s *State) age(j *job) time.Duration {
-	if j.at == 0 || s.wall < j.at {
+	if j.at == 0 || s.wallMs < j.at {
 		return 0
 	}
-	return time.Duration(s.wall-j.at) * time.Millisecond
+	return time.Duration(s.wallMs-j.at) * time.Millisecond
 }
 
 // pressing says whether j can't wait any longer for room on the machines
@@ -108,7 +108,7 @@
 	// Estimates and boot times are often exceeded by half.
 	ready := 1.5*boot + j.ImageGB/max(rate, 0.001)
 	spare := s.within(j) - time.Duration((ready+1.25*j.Estimate)*float64(time.Second))
-	if start := s.cfg.Goals[j.Class].Start; start > 0 {
+	if start := s.cfg.Goals[j.Class].StartWithin; start > 0 {
 		spare = min(spare, start-time.Duration(ready*float64(time.Second)))
 	}
 	return s.age(j) >= time.Duration(s.cfg.Patience*float64(spare))
@@ -118,14 +118,14 @@
 func (s *State) within(j *job) time.Duration {
 	g := s.cfg.Goals[j.Class]
 	switch {
-	case g.Finish > 0:
-		return g.Finish
-	case g.Due > 0 && j.Due != nil:
-		return time.Duration(g.Due * *j.Due * float64(time.Second))
+	case g.FinishWithin > 0:
+		return g.FinishWithin
+	case g.DueFactor > 0 && j.Due != nil:
+		return time.Duration(g.DueFactor * *j.Due * float64(time.Second))
 	case j.Due != nil:
 		return time.Duration(*j.Due * float64(time.Second))
 	}
-	return s.cfg.CancelIn
+	return s.cfg.CancelWithin
 }
 
 func (s *State) want(j *job, n int) fleet.Want {
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -19,7 +19,7 @@
 // but not for ever.
 func (s *State) zoneView() map[string]zoneState {
 	zones := map[string]zoneState{}
-	for _, m := range s.order {
+	for _, m := range s.machinesByName {
 		if !m.rostered || m.returning {
 			continue
 		}
@@ -30,7 +30,7 @@
 		}
 		zones[m.zone] = z
 	}
-	for _, name := range ordered(zones) {
+	for _, name := range sortedKeys(zones) {
 		z := zones[name]
 		if z.machines < 3 || z.heard*2 >= z.machines {
 			if _, ok := s.silentAt[name]; ok {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,13 +74,13 @@
 		logs: rate.NewLimiter(linesPerSecond, 10*linesPerSecond)}
 	cfg := set.Core(boot)
 	cfg.DebugLog = slog.Default().Enabled(context.Background(), slog.LevelDebug)
-	cfg.Budget = set.Budget
+	cfg.RoundBudget = set.Budget
 	cfg.Stopwatch = func() func() time.Duration {
 		began := n.Now()
 		return func() time.Duration { return n.Now() - began }
 	}
-	n.state, n.lease, n.pace = core.New(cfg, n.Now()), cfg.Lease, min(cfg.ReportEvery/24, slowestPace)
-	report := cfg.ReportEvery
+	n.state, n.lease, n.pace = core.New(cfg, n.Now()), cfg.Lease, min(cfg.ReportInterval/24, slowestPace)
+	report := cfg.ReportInterval
 	dialer := &net.Dialer{Timeout: report}
 	client := func(perHost, idle int) *http.Client {
 		return &http.Client{
@@ -203,7 +203,7 @@
 // tick lets time-driven work happen, and ends the questions that have had no
 // answer in time.
 func (n *Node) tick(ctx context.Context) {
-	n.step(ctx, core.Tick{Wall: time.Now().UnixMilli()})
+	n.step(ctx, core.Tick{WallMs: time.Now().UnixMilli()})
 	now := n.Now()
 	if now < n.overdueAt {
 		return
@@ -225,8 +225,8 @@
 	for _, e := range n.state.Step(n.Now(), ev) {
 		switch e := e.(type) {
 		case core.Reply:
-			if q, ok := n.asked[e.Req]; ok {
-				delete(n.asked, e.Req)
+			if q, ok := n.asked[e.RequestID]; ok {
+				delete(n.asked, e.RequestID)
 				q.reply <- e
 			}
 		case core.StoreCall:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -22,10 +22,10 @@
 func TestRenewalsGoFirst(t *testing.T) {
 	n := &Node{store: &statestore.Client{HTTP: &http.Client{Transport: nobody{}}}, start: time.Now(),
 		asked: map[uint64]question{}, questions: make(chan question, 64), urgent: make(chan core.Event, 64)}
-	n.state = core.New(core.Config{Self: "a", Peers: []string{"b"}, ReportEvery: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWrites: 10, CloudRPS: 10}, 0)
+	n.state = core.New(core.Config{Self: "a", Peers: []string{"b"}, ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
 	for i := range 32 {
-		n.questions <- question{id: uint64(i), event: core.ReportIn{Req: uint64(i)}, until: time.Hour, reply: make(chan core.Reply, 1)}
-		n.urgent <- core.PeerIn{From: "b", Msg: core.PeerMsg{Kind: core.MsgNudge}}
+		n.questions <- question{id: uint64(i), event: core.WorkerReport{RequestID: uint64(i)}, until: time.Hour, reply: make(chan core.Reply, 1)}
+		n.urgent <- core.PeerIn{From: "b", Msg: core.PeerMsg{Kind: core.MsgChange}}
 	}
 	for range 32 {
 		if err := n.next(t.Context(), nil, nil); err != nil {
@@ -48,7 +48,7 @@
 	ask := func(wait time.Duration) chan end {
 		done := make(chan end, 1)
 		go func() {
-			r, ok := n.Ask(func(req uint64) core.Event { return core.ReportIn{Req: req} }, wait, func() {})
+			r, ok := n.Ask(func(req uint64) core.Event { return core.WorkerReport{RequestID: req} }, wait, func() {})
 			done <- end{r.Status, ok}
 		}()
 		return done
@@ -59,7 +59,7 @@
 		t.Errorf("a report is worked on though its time was over: %+v", e)
 	}
 
-	n.state = core.New(core.Config{Self: "a", ReportEvery: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWrites: 10, CloudRPS: 10}, 0)
+	n.state = core.New(core.Config{Self: "a", ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
 	done = ask(time.Hour)
 	n.take(t.Context(), <-n.questions)
 	if e := <-done; !e.ok || e.status != 421 || len(n.asked) != 0 {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,8 +12,8 @@
 func TestFramesRoundTrip(t *testing.T) {
 	msgs := []core.PeerMsg{
 		{Kind: core.MsgVoteRequest, Term: 7, Sent: 3 * time.Second, StoreOK: true, StoreAge: time.Millisecond},
-		{Kind: core.MsgNudge, Key: "k", Value: []byte(`{"a":1}`), Stamp: 1 << 52},
-		{Kind: core.MsgCounts, Counts: map[string]int{"req-000001": 3}},
+		{Kind: core.MsgChange, Key: "k", Value: []byte(`{"a":1}`), Stamp: 1 << 52},
+		{Kind: core.MsgRunningCounts, Counts: map[string]int{"req-000001": 3}},
 	}
 	var wire bytes.Buffer
 	for _, m := range msgs {
--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -52,7 +52,7 @@
 			n, keys := w.Leader(), sortedKeys(w.Workers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.State.Step(n.clock(), core.ReportIn{Req: 1, Report: w.Workers[keys[i%len(keys)]].report()})
+				n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: w.Workers[keys[i%len(keys)]].report()})
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	n := w.Leader()
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(n.State.Step(n.clock(), core.Poll{Req: 1, ID: "req-000001"})) == 0 {
+		if len(n.State.Step(n.clock(), core.Poll{RequestID: 1, ID: "req-000001"})) == 0 {
 			b.Fatal("not answered at once: the job should be over by now")
 		}
 	}
--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -42,7 +42,7 @@
 	{"each leader ends before the machine reports to it again", 5, func(d *cancelledDay) {
 		d.LateCommands = 1
 		d.crashLeader(300 * time.Millisecond)
-		d.endLeaders(d.Now + d.Opt.Config.CancelIn)
+		d.endLeaders(d.Now + d.Opt.Config.CancelWithin)
 	}},
 	{"the machine hangs once a leader elected late has answered it", 5, hangOnceAnswered},
 	{"the same among thousands of machines", 1340, hangOnceAnswered},
@@ -54,8 +54,8 @@
 	c := d.Opt.Config
 	d.LateCommands = 1
 	d.crashLeader(10 * second)
-	d.outage(d.Now+500*time.Millisecond, d.Now+c.CancelIn-c.Lease)
-	d.afterAnswer(d.Now+c.CancelIn-c.Lease, func() { d.machine.Hang(c.Lease + 10*second) })
+	d.outage(d.Now+500*time.Millisecond, d.Now+c.CancelWithin-c.Lease)
+	d.afterAnswer(d.Now+c.CancelWithin-c.Lease, func() { d.machine.Hang(c.Lease + 10*second) })
 }
 
 // TestCancelledTasksAreGone: whatever is answered to a machine, the tasks of a
@@ -78,7 +78,7 @@
 			day.play(d)
 			d.Run(cancelAt + 200*time.Millisecond)
 			d.Users.Cancel(d.job)
-			d.Run(cancelAt + 2*opt.Config.CancelIn)
+			d.Run(cancelAt + 2*opt.Config.CancelWithin)
 			for _, b := range d.Check.Broken {
 				t.Error(b)
 			}
--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -86,14 +86,14 @@
 	if j.Spread && here > j.ZoneCap() {
 		c.broken("wrong_place", "%d of %s in %s", here, j.ID, wk.info.Zone)
 	}
-	if t.toldCancelled != 0 && c.w.Now > t.toldCancelled+c.w.Opt.Config.CancelIn {
+	if t.toldCancelled != 0 && c.w.Now > t.toldCancelled+c.w.Opt.Config.CancelWithin {
 		c.broken("ran_cancelled", "%s starts", task)
 	}
 	if t.toldCancelled != 0 {
 		c.LateStarts++
 		// A start on its way, to a machine that hangs too, can come later than the
 		// confirmation; but nobody may send one once the stalest view is over.
-		if limit := c.w.Opt.Config.CancelIn - c.w.Opt.Config.Lease; c.w.Now > t.toldCancelled+limit {
+		if limit := c.w.Opt.Config.CancelWithin - c.w.Opt.Config.Lease; c.w.Now > t.toldCancelled+limit {
 			c.broken("late_start", "%s starts, confirmed as cancelled at %v", task, t.toldCancelled)
 		}
 	}
@@ -139,7 +139,7 @@
 		return
 	}
 	c.Cancelled++
-	margin := t.toldCancelled + c.w.Opt.Config.CancelIn - c.w.Now
+	margin := t.toldCancelled + c.w.Opt.Config.CancelWithin - c.w.Now
 	if c.LeastMarginTask == "" || margin < c.LeastMargin {
 		c.LeastMargin, c.LeastMarginTask = margin, task
 	}
@@ -191,7 +191,7 @@
 	}
 	t.toldCancelled, t.toldAt = c.w.Now, c.w.Now
 	c.w.Users.lookClosely(t)
-	limit := c.w.Opt.Config.CancelIn
+	limit := c.w.Opt.Config.CancelWithin
 	c.w.After(limit+time.Millisecond, func() {
 		for task := range t.on {
 			c.broken("ran_cancelled", "%s", task)
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -123,14 +123,14 @@
 		{rule: "forgotten", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 200 && w.Now > 60*second {
 				if _, ok := r.Body.(core.JobStatus); ok {
-					return core.Reply{Req: r.Req, Status: 404}
+					return core.Reply{RequestID: r.RequestID, Status: 404}
 				}
 			}
 			return e
 		}},
 		{rule: "invented", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 404 {
-				return core.Reply{Req: r.Req, Status: 200, Body: core.JobStatus{}}
+				return core.Reply{RequestID: r.RequestID, Status: 200, Body: core.JobStatus{}}
 			}
 			return e
 		}},
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -27,8 +27,8 @@
 	end  time.Duration
 }
 
-func (c *Cloud) serve(call core.CloudCall) core.CloudDone {
-	d := core.CloudDone{Call: call.Call, Status: 200}
+func (c *Cloud) serve(call core.CloudCall) core.CloudResult {
+	d := core.CloudResult{CallID: call.CallID, Status: 200}
 	if c.Out {
 		d.Status = 503
 		return d
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -83,7 +83,7 @@
 	}
 	switch r.state {
 	case model.TaskGathering:
-		if wk.w.Now >= r.began+wk.w.Opt.Config.GangWait {
+		if wk.w.Now >= r.began+wk.w.Opt.Config.GangWaitTimeout {
 			wk.exit(name, r, model.CauseAlone)
 		}
 	case model.TaskRunning:
@@ -105,7 +105,7 @@
 	switch {
 	case t.done[name]:
 		wk.exit(name, r, model.CauseDone)
-	case g.missesPeers(w.Now, w.Opt.Config.GangPeer):
+	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
 		wk.exit(name, r, model.CausePeers)
 	case g.killed == 0 && g.broken == 0 && w.Now >= r.end:
 		g.over = true
@@ -132,7 +132,7 @@
 	case r.saved, g.over && g.broken == 0:
 		r.saved = true
 		wk.exit(name, r, model.CauseStopped)
-	case g.missesPeers(w.Now, w.Opt.Config.GangPeer):
+	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
 		g.settle(w.Now)
 		wk.exit(name, r, model.CausePeers)
 	}
@@ -145,7 +145,7 @@
 		if g.killed == 0 {
 			g.killed = w.Now
 		}
-		if w.Now <= g.killed+w.Opt.Config.GangPeer {
+		if w.Now <= g.killed+w.Opt.Config.GangPeerTimeout {
 			r.state, r.end, wk.changed = model.TaskSaving, w.Now+time.Duration(t.spec.SaveCost*float64(time.Second)), true
 			return
 		}
--- a/internal/sim/gang_faults_test.go
+++ b/internal/sim/gang_faults_test.go
@@ -114,9 +114,9 @@
 			})
 		}, doneBy: 110 * second, attempts: 2},
 		{name: "tasks give up before the leader has told them to", play: func(w *World) {
-			w.Opt.Config.GangWait = 4 * second // the workers', who are told less than the leader
+			w.Opt.Config.GangWaitTimeout = 4 * second // the workers', who are told less than the leader
 			w.whenGang(model.TaskFetching, 5, func() { w.machineOf(gangID + "/4").Hang(9 * second) })
-			w.At(30*second, func() { w.Opt.Config.GangWait = 40 * second })
+			w.At(30*second, func() { w.Opt.Config.GangWaitTimeout = 40 * second })
 		}, doneBy: 70 * second, attempts: 2},
 		{name: "one task is done, the others' machines are out of reach", play: func(w *World) {
 			w.whenGang(model.TaskRunning, 5, func() {
@@ -160,7 +160,7 @@
 			w.whenGang(model.TaskRunning, 5, func() {
 				// The stop goes out SaveCost and a report before the machine goes:
 				// within the last fifth of a second of the gang, by seed.
-				early := 2*second + w.Opt.Config.ReportEvery + time.Duration(w.Opt.Seed%3)*60*time.Millisecond
+				early := 2*second + w.Opt.Config.ReportInterval + time.Duration(w.Opt.Seed%3)*60*time.Millisecond
 				w.After(20*second-9*second+early-60*time.Millisecond, w.recallFirst)
 			})
 		}, doneBy: 80 * second, attempts: 2},
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -160,7 +160,7 @@
 // boots, one finds its room free; when they stop coming the machines go back.
 func TestSpareRoomForGangs(t *testing.T) {
 	opt := Defaults(4)
-	opt.Config.Goals = map[string]core.Goal{"gang": {Start: 5 * second}}
+	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	w := New(opt)
 	for i := range 10 {
 		g := gangOf(fmt.Sprintf("req-%06d", i), 3)
@@ -190,7 +190,7 @@
 // Once the cloud has enough it runs.
 func TestGangBeyondTheCloud(t *testing.T) {
 	opt := Defaults(3)
-	opt.Config.Goals = map[string]core.Goal{"gang": {Start: 5 * second}}
+	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	w := New(opt)
 	g := gangOf("req-300000", 40) // twenty machines of twelve
 	w.At(5*second, func() { w.Users.Submit(g, 10*second) })
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -30,9 +30,9 @@
 func largest(seed uint64) Options {
 	opt := Defaults(seed)
 	c := &opt.Config
-	c.ReportEvery, c.Lease, c.CancelIn = 6*second, 31*second, 51*second
-	c.StoreRPS, c.StoreWrites, c.ValueBytes, c.TxnOps = 250, 70, 16<<10, 24
-	c.Directs, c.Requests = 152, 1990
+	c.ReportInterval, c.Lease, c.CancelWithin = 6*second, 31*second, 51*second
+	c.StoreRPS, c.StoreWriteRPS, c.MaxValueBytes, c.MaxTxnOps = 250, 70, 16<<10, 24
+	c.MaxDirectCommands, c.MaxRequests = 152, 1990
 	opt.Pace = 100 * time.Millisecond
 	return opt
 }
@@ -42,7 +42,7 @@
 	opt.Capacity = zone
 	opt.Config.Stopwatch = func() func() time.Duration {
 		if g.World != nil {
-			g.rounds[g.Now/opt.Config.ReportEvery]++
+			g.rounds[g.Now/opt.Config.ReportInterval]++
 		}
 		return func() time.Duration { return 0 }
 	}
@@ -50,7 +50,7 @@
 		switch e := e.(type) {
 		case core.StoreCall:
 			g.requests++
-			g.puts += len(e.Then)
+			g.puts += len(e.Changes)
 		case core.AgentCall:
 			g.directs++
 			g.open++
@@ -102,12 +102,12 @@
 	puts, requests := g.puts, g.requests
 	g.Run(60 * second)
 	rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20
-	if rps > g.Opt.Config.StoreRPS || wps > g.Opt.Config.StoreWrites {
+	if rps > g.Opt.Config.StoreRPS || wps > g.Opt.Config.StoreWriteRPS {
 		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", rps, wps)
 	}
 	for at, n := range g.rounds {
 		if n > 26 { // 24, and one at each end
-			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Opt.Config.ReportEvery)
+			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Opt.Config.ReportInterval)
 		}
 	}
 
@@ -201,7 +201,7 @@
 // machines accounted for when the cut zone's leases are over.
 func TestCutZoneHoldsNobodyElseUp(t *testing.T) {
 	opt := Defaults(5)
-	opt.Config.Directs = 24
+	opt.Config.MaxDirectCommands = 24
 	g := growTo(opt, 150)
 	g.load(100 * second)
 	var elected, settled []time.Duration
@@ -273,7 +273,7 @@
 		}
 		i := 0
 		return testing.AllocsPerRun(200, func() {
-			out := n.State.Step(n.clock(), core.ReportIn{Req: 1, Report: reports[i]})
+			out := n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: reports[i]})
 			i++
 			if len(out) == 0 {
 				t.Fatal("no answer at once")
@@ -309,11 +309,11 @@
 		}
 		now, before := n.clock(), made()
 		each := testing.AllocsPerRun(4, func() { // and once before
-			now += g.Opt.Config.ReportEvery/6 + time.Millisecond // a round is due each sixth
-			n.State.Step(now, core.Tick{Wall: now.Milliseconds()})
+			now += g.Opt.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
+			n.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
 		})
-		if got := made() - before; got < 5 || !n.State.LeadingAt(now) {
-			t.Fatalf("%d rounds in 5 ticks, leading: %v", got, n.State.LeadingAt(now))
+		if got := made() - before; got < 5 || !n.State.IsLeaderAt(now) {
+			t.Fatalf("%d rounds in 5 ticks, leading: %v", got, n.State.IsLeaderAt(now))
 		}
 		return each
 	}
@@ -349,7 +349,7 @@
 
 	puts, requests := g.puts, g.requests
 	g.Run(35 * second)
-	if rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWrites/2 {
+	if rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
 		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", rps, wps)
 	}
 
@@ -360,13 +360,13 @@
 		g.atOnce = 0
 		g.Run(until)
 		took := (g.Now - from).Seconds()
-		if g.atOnce > c.Directs*3/2 { // of three controllers, one leads at a time
+		if g.atOnce > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
 			t.Errorf("%s: %d direct commands at the same time", what, g.atOnce)
 		}
 		if n := g.directs - directs; n > 3*elections*g.machines {
 			t.Errorf("%s: %d direct commands", what, n)
 		}
-		if rps, wps := float64(g.requests-requests)/took, float64(g.puts-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWrites/2 {
+		if rps, wps := float64(g.requests-requests)/took, float64(g.puts-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
 			t.Errorf("%s: %.0f requests and %.0f changes a second", what, rps, wps)
 		}
 		if n := g.lost() - lost; n > 0 {
@@ -454,7 +454,7 @@
 	rep := wk.report()
 	c.allocsPerReport = testing.AllocsPerRun(100, func() {
 		rep.Seq++
-		n.State.Step(n.clock(), core.ReportIn{Req: 1, Report: rep})
+		n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: rep})
 	})
 	for _, b := range g.Check.Broken {
 		t.Error(b)
@@ -488,10 +488,10 @@
 		if c.settledAfter <= 0 || c.settledAfter > limits.Lease/2 || c.leasesLost > 0 {
 			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", c.machines, c.settledAfter, c.leasesLost)
 		}
-		if c.requestsPerSecond > limits.StoreRPS/2 || c.changesTakeover > 20*limits.StoreWrites/2 {
+		if c.requestsPerSecond > limits.StoreRPS/2 || c.changesTakeover > 20*limits.StoreWriteRPS/2 {
 			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", c.machines, c.requestsPerSecond, c.changesTakeover)
 		}
-		if c.leastMargin < limits.CancelIn-limits.Lease {
+		if c.leastMargin < limits.CancelWithin-limits.Lease {
 			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", c.machines, c.leastMargin)
 		}
 	}
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -459,7 +459,7 @@
 				switch {
 				case !t.accepted || w.Rnd.IntN(4) > 0:
 				case t.toldDone:
-					w.Users.ask(func(req uint64) core.Event { return core.Withdraw{Req: req, ID: id} }, 5*second, func(r core.Reply) { w.Check.told(t, asked, r) })
+					w.Users.ask(func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }, 5*second, func(r core.Reply) { w.Check.told(t, asked, r) })
 				case t.toldCancelled == 0:
 					w.Users.ask(w.Users.submission(t.spec), 5*second, func(r core.Reply) { w.Check.told(t, asked, r) })
 				}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -42,7 +42,7 @@
 func (n *Node) Start() {
 	cfg := n.w.Opt.Config
 	cfg.Self = n.Name
-	cfg.Boot = n.w.Opt.Seed*1000 + uint64(n.index*100+n.Boots)
+	cfg.Incarnation = n.w.Opt.Seed*1000 + uint64(n.index*100+n.Boots)
 	for _, o := range n.w.Nodes {
 		if o != n {
 			cfg.Peers = append(cfg.Peers, o.Name)
@@ -55,7 +55,7 @@
 	}
 	n.Boots++
 	n.life++
-	n.skew = (n.w.Rnd.Float64() - 0.5) * core.Drift
+	n.skew = (n.w.Rnd.Float64() - 0.5) * core.ClockDrift
 	n.wall = (n.w.Rnd.Float64() - 0.5) * 1.4
 	n.asks = map[uint64]func(core.Reply){}
 	n.State = core.New(cfg, n.clock())
@@ -118,8 +118,8 @@
 		return
 	}
 	// The time of day wanders within its bound.
-	off := (n.wall + 0.3*math.Sin(n.w.Now.Seconds()/17+float64(n.index))) * n.w.Opt.Config.Skew.Seconds()
-	n.Step(core.Tick{Wall: n.w.Now.Milliseconds() + 1e9 + int64(1000*off)})
+	off := (n.wall + 0.3*math.Sin(n.w.Now.Seconds()/17+float64(n.index))) * n.w.Opt.Config.MaxClockSkew.Seconds()
+	n.Step(core.Tick{WallMs: n.w.Now.Milliseconds() + 1e9 + int64(1000*off)})
 	n.w.After(50*time.Millisecond, func() { n.tick(life) })
 }
 
@@ -175,8 +175,8 @@
 func (n *Node) effect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Reply:
-		if f := n.asks[e.Req]; f != nil {
-			delete(n.asks, e.Req)
+		if f := n.asks[e.RequestID]; f != nil {
+			delete(n.asks, e.RequestID)
 			f(e)
 		}
 	case core.StoreCall:
@@ -207,12 +207,12 @@
 func (n *Node) callStore(e core.StoreCall) {
 	w, alive := n.w, n.whileAlive()
 	w.send(n.Name, "state", func() {
-		w.Store.serve(n.Name, e, func(d core.StoreDone) {
+		w.Store.serve(n.Name, e, func(d core.StoreResult) {
 			w.send("state", n.Name, alive(func() { n.later(d) }))
 		})
-		w.repeat(func() { w.Store.serve(n.Name, e, func(core.StoreDone) {}) })
+		w.repeat(func() { w.Store.serve(n.Name, e, func(core.StoreResult) {}) })
 	})
-	w.After(e.Timeout, alive(func() { n.later(core.StoreDone{Call: e.Call}) }))
+	w.After(e.Timeout, alive(func() { n.later(core.StoreResult{CallID: e.CallID}) }))
 }
 
 // cloudTimeout and agentTimeout are for how long a controller waits for an answer.
@@ -228,13 +228,13 @@
 		w.repeat(func() { w.Cloud.serve(e) })
 		w.send("cloud", n.Name, alive(func() { n.later(d) }))
 	})
-	w.After(cloudTimeout, alive(func() { n.later(core.CloudDone{Call: e.Call}) }))
+	w.After(cloudTimeout, alive(func() { n.later(core.CloudResult{CallID: e.CallID}) }))
 }
 
 func (n *Node) callAgent(e core.AgentCall) {
 	w, alive := n.w, n.whileAlive()
-	if n.clock() >= e.Until {
-		n.later(core.AgentDone{Call: e.Call}) // as the edge: checked last
+	if n.clock() >= e.SendBefore {
+		n.later(core.AgentResult{CallID: e.CallID}) // as the edge: checked last
 		return
 	}
 	w.send(n.Name, e.Endpoint, func() {
@@ -244,15 +244,15 @@
 		}
 		if w.LateCommands > 0 && w.Rnd.Float64() < w.LateCommands {
 			late := 2*time.Second + time.Duration(w.Rnd.Int64N(int64(14*time.Second)))
-			w.After(late, func() { wk.commands(e, func(core.AgentDone) {}) })
+			w.After(late, func() { wk.commands(e, func(core.AgentResult) {}) })
 			return
 		}
-		wk.commands(e, func(d core.AgentDone) {
+		wk.commands(e, func(d core.AgentResult) {
 			w.send(e.Endpoint, n.Name, alive(func() { n.later(d) }))
 		})
-		w.repeat(func() { wk.commands(e, func(core.AgentDone) {}) })
+		w.repeat(func() { wk.commands(e, func(core.AgentResult) {}) })
 	})
-	w.After(agentTimeout, alive(func() { n.later(core.AgentDone{Call: e.Call}) }))
+	w.After(agentTimeout, alive(func() { n.later(core.AgentResult{CallID: e.CallID}) }))
 }
 
 func (n *Node) sendToPeer(e core.PeerOut) {
@@ -287,7 +287,7 @@
 		}
 		n.req++
 		n.asks[n.req] = func(r core.Reply) {
-			if r.Until != 0 && n.clock() >= r.Until {
+			if r.SendBefore != 0 && n.clock() >= r.SendBefore {
 				r = core.Reply{Status: 503}
 			}
 			w.send(n.Name, from, func() { f(r) })
@@ -301,7 +301,7 @@
 func (w *World) Leader() *Node {
 	var found *Node
 	for _, n := range w.Nodes {
-		if n.State != nil && n.State.LeadingAt(n.clock()) {
+		if n.State != nil && n.State.IsLeaderAt(n.clock()) {
 			if found != nil {
 				w.Check.broken("two_leaders", "%s and %s", found.Name, n.Name)
 			}
@@ -318,7 +318,7 @@
 		w.led = l
 		for _, r := range w.kept {
 			for _, n := range w.Nodes {
-				n.ask("copy", func(req uint64) core.Event { return core.ReportIn{Req: req, Report: r} }, func(core.Reply) {})
+				n.ask("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: r} }, func(core.Reply) {})
 			}
 		}
 		w.kept = nil
--- a/internal/sim/reporting.go
+++ b/internal/sim/reporting.go
@@ -31,7 +31,7 @@
 	wk.reports++
 	number := wk.reports
 	wk.inFlight, wk.lastReportAt = number, w.Now
-	every := w.Opt.Config.ReportEvery
+	every := w.Opt.Config.ReportInterval
 	wk.nextReportAt = w.Now + every*3/4 + time.Duration(w.Rnd.Int64N(int64(every/2)))
 	sent, session := w.Now, wk.session
 	rep := wk.report()
@@ -41,7 +41,7 @@
 		wk.turnTo(time.Second, wk.following())
 		return
 	}
-	node.ask(wk.info.Endpoint, func(req uint64) core.Event { return core.ReportIn{Req: req, Report: rep} }, func(r core.Reply) {
+	node.ask(wk.info.Endpoint, func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: rep} }, func(r core.Reply) {
 		if wk.dead || wk.inFlight != number {
 			return // given up: dropped
 		}
@@ -68,7 +68,7 @@
 		// To whichever controller.
 		to := w.Nodes[w.Rnd.IntN(len(w.Nodes))]
 		w.After(time.Second+time.Duration(w.Rnd.Int64N(int64(3*w.Opt.Config.Lease))), func() {
-			to.ask("copy", func(req uint64) core.Event { return core.ReportIn{Req: req, Report: rep} }, func(core.Reply) {})
+			to.ask("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: rep} }, func(core.Reply) {})
 		})
 	}
 	if w.ForNext > 0 && w.Rnd.Float64() < w.ForNext {
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -94,9 +94,9 @@
 	opt := Defaults(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 	former := opt.Config
-	opt.Config.ValueBytes, opt.Config.TxnOps, opt.Config.StoreWrites = loweredValueBytes, loweredTxnOps, loweredWrites
+	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWrites
 	opt.Former = func(c *core.Config) {
-		c.ValueBytes, c.TxnOps, c.StoreWrites = former.ValueBytes, former.TxnOps, former.StoreWrites
+		c.MaxValueBytes, c.MaxTxnOps, c.StoreWriteRPS = former.MaxValueBytes, former.MaxTxnOps, former.StoreWriteRPS
 	}
 	opt.Capacity = 20
 	return opt
@@ -127,10 +127,10 @@
 	if w.Old[n.Name] {
 		return
 	}
-	if len(c.Then) > loweredTxnOps {
-		r.t.Errorf("%s makes %d changes in a transaction", n.Name, len(c.Then))
+	if len(c.Changes) > loweredTxnOps {
+		r.t.Errorf("%s makes %d changes in a transaction", n.Name, len(c.Changes))
 	}
-	for _, ch := range c.Then {
+	for _, ch := range c.Changes {
 		if len(ch.Value) > loweredValueBytes {
 			r.t.Errorf("%s writes %d bytes into %s", n.Name, len(ch.Value), ch.Key)
 		}
--- a/internal/sim/served.go
+++ b/internal/sim/served.go
@@ -180,7 +180,7 @@
 					return
 				}
 				sent := c.w.Now
-				n.ask("users", func(req uint64) core.Event { return core.Poll{Req: req, ID: id} }, func(r core.Reply) {
+				n.ask("users", func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, func(r core.Reply) {
 					c.told(t, sent, r)
 					answered = answered || r.Status == 200
 				})
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -49,7 +49,7 @@
 
 type watch struct {
 	call  core.StoreCall
-	reply func(core.StoreDone)
+	reply func(core.StoreResult)
 	done  bool
 	node  string
 }
@@ -84,22 +84,22 @@
 		if s.items[k].lease == id {
 			s.rev++
 			delete(s.items, k)
-			s.log = append(s.log, core.Item{Key: k, Stamp: s.rev, Removed: true})
+			s.log = append(s.log, core.Item{Key: k, ModRevision: s.rev, Removed: true})
 		}
 	}
 	s.wake()
 }
 
-func (s *Store) serve(node string, c core.StoreCall, reply func(core.StoreDone)) {
-	if c.Op == core.StoreWatch && c.Block > 0 {
+func (s *Store) serve(node string, c core.StoreCall, reply func(core.StoreResult)) {
+	if c.Op == core.StoreWatch && c.BlockTimeout > 0 {
 		wt := &watch{call: c, reply: reply, node: node}
 		s.waits = append(s.waits, wt)
-		s.w.After(c.Block, func() { s.answerWatch(wt, true) })
+		s.w.After(c.BlockTimeout, func() { s.answerWatch(wt, true) })
 		s.wake()
 		return
 	}
 	if s.Out || s.Refuse[node] {
-		reply(core.StoreDone{Call: c.Call, Status: 503})
+		reply(core.StoreResult{CallID: c.CallID, Status: 503})
 		return
 	}
 	if c.Op == core.StoreTxn && s.Unanswered > 0 && s.w.Rnd.Float64() < s.Unanswered {
@@ -137,7 +137,7 @@
 	if wt.done || s.Out || s.Refuse[wt.node] {
 		return // open watches wait during an outage
 	}
-	d := s.do(core.StoreCall{Call: wt.call.Call, Op: core.StoreWatch, Prefix: wt.call.Prefix, After: wt.call.After})
+	d := s.do(core.StoreCall{CallID: wt.call.CallID, Op: core.StoreWatch, Prefix: wt.call.Prefix, AfterRevision: wt.call.AfterRevision})
 	if len(d.Items) > 0 || timeUp {
 		wt.done = true
 		wt.reply(d)
@@ -145,20 +145,20 @@
 }
 
 // do carries a call out at once.
-func (s *Store) do(c core.StoreCall) core.StoreDone {
-	d := core.StoreDone{Call: c.Call, Status: 200, Rev: s.rev}
+func (s *Store) do(c core.StoreCall) core.StoreResult {
+	d := core.StoreResult{CallID: c.CallID, Status: 200, Revision: s.rev}
 	switch c.Op {
 	case core.StoreList:
 		s.list(c, &d)
 	case core.StoreWatch:
 		for _, it := range s.log {
-			if it.Stamp > c.After && strings.HasPrefix(it.Key, c.Prefix) {
+			if it.ModRevision > c.AfterRevision && strings.HasPrefix(it.Key, c.Prefix) {
 				d.Items = append(d.Items, it)
 			}
 		}
 	case core.StoreLease:
 		s.next++
-		s.leases[s.next] = &lease{c.Life, s.w.Now + c.Life}
+		s.leases[s.next] = &lease{c.TTL, s.w.Now + c.TTL}
 		d.Lease = s.next
 	case core.StoreRenew, core.StoreRevoke:
 		s.changeLease(c, &d)
@@ -169,10 +169,10 @@
 }
 
 // list returns keys in order, as many as were asked for.
-func (s *Store) list(c core.StoreCall, d *core.StoreDone) {
+func (s *Store) list(c core.StoreCall, d *core.StoreResult) {
 	keys := sortedKeys(s.items)
 	for i := sort.SearchStrings(keys, c.Prefix); i < len(keys) && strings.HasPrefix(keys[i], c.Prefix); i++ {
-		if keys[i] <= c.From {
+		if keys[i] <= c.StartAfter {
 			continue
 		}
 		if len(d.Items) == c.Limit {
@@ -180,12 +180,12 @@
 			return
 		}
 		it := s.items[keys[i]]
-		d.Items = append(d.Items, core.Item{Key: keys[i], Value: it.value, Stamp: it.stamp})
+		d.Items = append(d.Items, core.Item{Key: keys[i], Value: it.value, ModRevision: it.stamp})
 	}
 }
 
 // changeLease renews a lease or ends it.
-func (s *Store) changeLease(c core.StoreCall, d *core.StoreDone) {
+func (s *Store) changeLease(c core.StoreCall, d *core.StoreResult) {
 	l := s.leases[c.Lease]
 	switch {
 	case l == nil:
@@ -198,31 +198,31 @@
 }
 
 // transact carries a transaction out if its guards hold.
-func (s *Store) transact(c core.StoreCall, d *core.StoreDone) {
+func (s *Store) transact(c core.StoreCall, d *core.StoreResult) {
 	s.Txns++
 	if d.Status = s.beyond(c); d.Status != 200 {
 		return
 	}
-	for _, ch := range c.Then {
+	for _, ch := range c.Changes {
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
 			d.Status, d.Err = 400, "no such lease"
 			return
 		}
 	}
-	for _, g := range c.Guards {
-		if s.stampOf(g.Key) != g.Stamp {
-			d.Failed = append(d.Failed, g.Key)
+	for _, g := range c.Preconditions {
+		if s.stampOf(g.Key) != g.ModRevision {
+			d.FailedKeys = append(d.FailedKeys, g.Key)
 		}
 	}
-	if len(d.Failed) > 0 {
+	if len(d.FailedKeys) > 0 {
 		d.Status = 409
 		return
 	}
 	s.rev++
-	for _, ch := range c.Then {
+	for _, ch := range c.Changes {
 		s.change(ch)
 	}
-	d.Rev = s.rev
+	d.Revision = s.rev
 	s.w.After(0, s.wake)
 }
 
@@ -238,19 +238,19 @@
 func (s *Store) change(ch core.Change) {
 	if !ch.Remove {
 		s.items[ch.Key] = &stored{ch.Value, s.rev, ch.Lease}
-		s.log = append(s.log, core.Item{Key: ch.Key, Value: ch.Value, Stamp: s.rev})
+		s.log = append(s.log, core.Item{Key: ch.Key, Value: ch.Value, ModRevision: s.rev})
 		return
 	}
 	if s.items[ch.Key] != nil {
 		delete(s.items, ch.Key)
-		s.log = append(s.log, core.Item{Key: ch.Key, Stamp: s.rev, Removed: true})
+		s.log = append(s.log, core.Item{Key: ch.Key, ModRevision: s.rev, Removed: true})
 	}
 }
 
 // beyond is what a transaction gets that is beyond the limits: 400 or 429.
 func (s *Store) beyond(c core.StoreCall) int {
-	large := s.MaxOps > 0 && (len(c.Then) > s.MaxOps || len(c.Guards) > 4*s.MaxOps)
-	for _, ch := range c.Then {
+	large := s.MaxOps > 0 && (len(c.Changes) > s.MaxOps || len(c.Preconditions) > 4*s.MaxOps)
+	for _, ch := range c.Changes {
 		large = large || s.MaxValue > 0 && len(ch.Value) > s.MaxValue
 	}
 	if large {
@@ -264,11 +264,11 @@
 		s.wrote = s.wrote[1:]
 	}
 	// Bursts of one second's worth are allowed on top.
-	if len(s.wrote)+len(c.Then) > 2*s.MaxWrites {
+	if len(s.wrote)+len(c.Changes) > 2*s.MaxWrites {
 		s.Refused429++
 		return 429
 	}
-	for range c.Then {
+	for range c.Changes {
 		s.wrote = append(s.wrote, s.w.Now)
 	}
 	return 200
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -300,7 +300,7 @@
 				late := rep
 				late.Seq -= uint64(i % 5)
 				w.After(time.Duration(i)*second, func() {
-					w.Leader().ask("copy", func(req uint64) core.Event { return core.ReportIn{Req: req, Report: late} }, func(core.Reply) {})
+					w.Leader().ask("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: late} }, func(core.Reply) {})
 				})
 			}
 		})
@@ -315,7 +315,7 @@
 				late := rep
 				late.Seq += uint64(i)
 				w.After(time.Duration(i)*700*time.Millisecond, func() {
-					w.Leader().ask("copy", func(req uint64) core.Event { return core.ReportIn{Req: req, Report: late} }, func(core.Reply) {})
+					w.Leader().ask("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: late} }, func(core.Reply) {})
 				})
 			}
 		})
@@ -329,10 +329,10 @@
 			for at := 2; at < 30; at += 4 {
 				w.After(time.Duration(at)*second, func() {
 					asked := w.Now
-					l.ask("users", func(req uint64) core.Event { return core.Poll{Req: req, ID: "req-000001"} }, func(r core.Reply) {
+					l.ask("users", func(req uint64) core.Event { return core.Poll{RequestID: req, ID: "req-000001"} }, func(r core.Reply) {
 						w.tell("%s answers a poll with %d after %d ms", l.Name, r.Status, (w.Now - asked).Milliseconds())
 					})
-					l.ask("balancer", func(req uint64) core.Event { return core.Up{Req: req} }, func(r core.Reply) {
+					l.ask("balancer", func(req uint64) core.Event { return core.HealthCheck{RequestID: req} }, func(r core.Reply) {
 						w.tell("%s answers a health check with %d", l.Name, r.Status)
 					})
 				})
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -38,7 +38,7 @@
 			u.w.After(d*time.Millisecond, func() {
 				asked := u.w.Now
 				told := func(r core.Reply) { u.w.Check.told(t, asked, r) }
-				u.askAt(n, func(req uint64) core.Event { return core.Poll{Req: req, ID: t.spec.ID} }, 2*time.Second, told)
+				u.askAt(n, func(req uint64) core.Event { return core.Poll{RequestID: req, ID: t.spec.ID} }, 2*time.Second, told)
 				u.askAt(n, u.submission(t.spec), 5*time.Second, told)
 			})
 		}
@@ -47,7 +47,7 @@
 
 func (u *Users) submission(spec model.Job) func(uint64) core.Event {
 	return func(req uint64) core.Event {
-		return core.Submit{Req: req, Job: spec, Wall: u.w.Now.Milliseconds() + 1e9}
+		return core.Submit{RequestID: req, Job: spec, WallMs: u.w.Now.Milliseconds() + 1e9}
 	}
 }
 
@@ -117,7 +117,7 @@
 }
 
 func (u *Users) look(id string, f func(core.Reply)) {
-	u.ask(func(req uint64) core.Event { return core.Poll{Req: req, ID: id} }, 2*time.Second, f)
+	u.ask(func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, 2*time.Second, f)
 }
 
 // Cancel has the user cancel a job.
@@ -133,7 +133,7 @@
 			return
 		}
 		asked := u.w.Now
-		withdraw := func(req uint64) core.Event { return core.Withdraw{Req: req, ID: id} }
+		withdraw := func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }
 		u.w.repeat(func() { u.ask(withdraw, 5*time.Second, func(core.Reply) {}) })
 		first := node
 		node = nil
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -175,13 +175,13 @@
 	r.state, r.cause, wk.changed = model.TaskExited, cause, true
 }
 
-func (wk *Worker) commands(c core.AgentCall, reply func(core.AgentDone)) {
+func (wk *Worker) commands(c core.AgentCall, reply func(core.AgentResult)) {
 	run := func() {
 		if wk.dead {
 			return
 		}
 		wk.expire()
-		d := core.AgentDone{Call: c.Call, Status: 200}
+		d := core.AgentResult{CallID: c.CallID, Status: 200}
 		if c.Epoch < wk.epoch || c.Session != wk.session {
 			d.Status = 409
 		} else {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -92,12 +92,12 @@
 			Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchRate: 1, Price: 0.2, SpotPrice: 0.1, BootS: 10, ZonesAvail: zones,
 		}},
 		Config: core.Config{
-			Teams:       map[string]core.Team{"t": {}, "tight": {}},
-			Skew:        time.Second,
-			ReportEvery: 1500 * time.Millisecond, Lease: 10 * time.Second, CancelIn: 30 * time.Second,
-			GangWait: 40 * time.Second, GangPeer: 5 * time.Second, Version: core.NewestVersion,
-			StoreRPS: 150, StoreWrites: 50, ValueBytes: 32 << 10, TxnOps: 12, CloudRPS: 6, ListLag: 5 * time.Second,
-			Directs: 64, Requests: 800,
+			Teams:          map[string]core.Team{"t": {}, "tight": {}},
+			MaxClockSkew:   time.Second,
+			ReportInterval: 1500 * time.Millisecond, Lease: 10 * time.Second, CancelWithin: 30 * time.Second,
+			GangWaitTimeout: 40 * time.Second, GangPeerTimeout: 5 * time.Second, Version: core.NewestVersion,
+			StoreRPS: 150, StoreWriteRPS: 50, MaxValueBytes: 32 << 10, MaxTxnOps: 12, CloudRPS: 6, ListLag: 5 * time.Second,
+			MaxDirectCommands: 64, MaxRequests: 800,
 			Tuning: core.DefaultTuning(),
 		},
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -44,8 +44,8 @@
 }
 
 type wireGuard struct {
-	Key   string `json:"k"`
-	Stamp uint64 `json:"stamp"`
+	Key         string `json:"k"`
+	ModRevision uint64 `json:"stamp"`
 }
 
 type wireChange struct {
@@ -61,19 +61,19 @@
 }
 
 // Do carries a call out.
-func (c *Client) Do(ctx context.Context, call core.StoreCall) core.StoreDone {
+func (c *Client) Do(ctx context.Context, call core.StoreCall) core.StoreResult {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	done := core.StoreDone{Call: call.Call}
+	done := core.StoreResult{CallID: call.CallID}
 	status, ans, err := c.exchange(ctx, call)
 	if err != nil {
 		done.Err = err.Error()
 		return done // whatever arrived: the outcome is not known
 	}
-	done.Status, done.Err, done.Rev = status, ans.Error, ans.Rev
-	done.More, done.Lease, done.Failed = ans.More, ans.Lease, ans.Failed
+	done.Status, done.Err, done.Revision = status, ans.Error, ans.Rev
+	done.More, done.Lease, done.FailedKeys = ans.More, ans.Lease, ans.Failed
 	for _, it := range append(ans.Items, ans.News...) {
-		item := core.Item{Key: it.Key, Value: it.Value, Stamp: it.Stamp}
+		item := core.Item{Key: it.Key, Value: it.Value, ModRevision: it.Stamp}
 		if it.Set != "" {
 			item.Key = it.Set
 		}
@@ -96,18 +96,18 @@
 	switch call.Op {
 	case core.StoreList:
 		query := url.Values{"under": {call.Prefix}, "page": {strconv.Itoa(call.Limit)}}
-		if call.From != "" {
-			query.Set("after", call.From)
+		if call.StartAfter != "" {
+			query.Set("after", call.StartAfter)
 		}
 		return wireRequest{http.MethodGet, "/keys?" + query.Encode(), nil}, nil
 	case core.StoreWatch:
-		query := url.Values{"under": {call.Prefix}, "after": {strconv.FormatUint(call.After, 10)},
-			"blockMs": {strconv.FormatInt(call.Block.Milliseconds(), 10)}}
+		query := url.Values{"under": {call.Prefix}, "after": {strconv.FormatUint(call.AfterRevision, 10)},
+			"blockMs": {strconv.FormatInt(call.BlockTimeout.Milliseconds(), 10)}}
 		return wireRequest{http.MethodGet, "/watch?" + query.Encode(), nil}, nil
 	case core.StoreTxn:
 		return wireRequest{http.MethodPost, "/multi", encodeTxn(call)}, nil
 	case core.StoreLease:
-		return wireRequest{http.MethodPost, "/grants", map[string]int64{"lifeMs": call.Life.Milliseconds()}}, nil
+		return wireRequest{http.MethodPost, "/grants", map[string]int64{"lifeMs": call.TTL.Milliseconds()}}, nil
 	case core.StoreRenew:
 		return wireRequest{http.MethodPost, fmt.Sprintf("/grants/%d/touch", call.Lease), nil}, nil
 	case core.StoreRevoke:
@@ -118,10 +118,10 @@
 
 func encodeTxn(call core.StoreCall) wireTxn {
 	t := wireTxn{Guards: []wireGuard{}, Then: []wireChange{}}
-	for _, g := range call.Guards {
+	for _, g := range call.Preconditions {
 		t.Guards = append(t.Guards, wireGuard(g))
 	}
-	for _, ch := range call.Then {
+	for _, ch := range call.Changes {
 		if ch.Remove {
 			t.Then = append(t.Then, wireChange{Remove: ch.Key})
 		} else {
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -20,22 +20,22 @@
 		request      string // method, path and body
 		status       int
 		answer       string
-		want         core.StoreDone
+		want         core.StoreResult
 		wantItemKeys string
 	}{
-		{core.StoreCall{Op: core.StoreList, Prefix: "c/", From: "c/7", Limit: 200}, "GET /keys?after=c%2F7&page=200&under=c%2F ", 200,
+		{core.StoreCall{Op: core.StoreList, Prefix: "c/", StartAfter: "c/7", Limit: 200}, "GET /keys?after=c%2F7&page=200&under=c%2F ", 200,
 			`{"items":[{"k":"c/8","value":{"x":1},"stamp":412}],"truncated":true,"ledgerRev":431}`,
-			core.StoreDone{Status: 200, Rev: 431, More: true}, "c/8@412"},
-		{core.StoreCall{Op: core.StoreWatch, Prefix: "c/", After: 431, Block: 10 * time.Second}, "GET /watch?after=431&blockMs=10000&under=c%2F ", 200,
+			core.StoreResult{Status: 200, Revision: 431, More: true}, "c/8@412"},
+		{core.StoreCall{Op: core.StoreWatch, Prefix: "c/", AfterRevision: 431, BlockTimeout: 10 * time.Second}, "GET /watch?after=431&blockMs=10000&under=c%2F ", 200,
 			`{"ledgerRev":433,"news":[{"set":"c/9","value":{},"stamp":433},{"remove":"c/d","stamp":432}]}`,
-			core.StoreDone{Status: 200, Rev: 433}, "c/9@433 -c/d@432"},
-		{core.StoreCall{Op: core.StoreTxn, Guards: []core.Guard{{Key: "a/b"}}, Then: []core.Change{
+			core.StoreResult{Status: 200, Revision: 433}, "c/9@433 -c/d@432"},
+		{core.StoreCall{Op: core.StoreTxn, Preconditions: []core.Precondition{{Key: "a/b"}}, Changes: []core.Change{
 			{Key: "a/b", Value: json.RawMessage(`{"v":1}`), Lease: 7}, {Key: "c/d", Remove: true}}},
 			`POST /multi {"guards":[{"k":"a/b","stamp":0}],"then":[{"set":"a/b","value":{"v":1},"tether":7},{"remove":"c/d"}]}`, 409,
-			`{"failed":["a/b"],"ledgerRev":431}`, core.StoreDone{Status: 409, Rev: 431, Failed: []string{"a/b"}}, ""},
-		{core.StoreCall{Op: core.StoreLease, Life: 5 * time.Second}, `POST /grants {"lifeMs":5000}`, 200, `{"tether":7}`, core.StoreDone{Status: 200, Lease: 7}, ""},
-		{core.StoreCall{Op: core.StoreRenew, Lease: 7}, `POST /grants/7/touch `, 404, ``, core.StoreDone{Status: 404}, ""},
-		{core.StoreCall{Op: core.StoreRevoke, Lease: 7}, `DELETE /grants/7 `, 503, `{"error":"trouble"}`, core.StoreDone{Status: 503, Err: "trouble"}, ""},
+			`{"failed":["a/b"],"ledgerRev":431}`, core.StoreResult{Status: 409, Revision: 431, FailedKeys: []string{"a/b"}}, ""},
+		{core.StoreCall{Op: core.StoreLease, TTL: 5 * time.Second}, `POST /grants {"lifeMs":5000}`, 200, `{"tether":7}`, core.StoreResult{Status: 200, Lease: 7}, ""},
+		{core.StoreCall{Op: core.StoreRenew, Lease: 7}, `POST /grants/7/touch `, 404, ``, core.StoreResult{Status: 404}, ""},
+		{core.StoreCall{Op: core.StoreRevoke, Lease: 7}, `DELETE /grants/7 `, 503, `{"error":"trouble"}`, core.StoreResult{Status: 503, Err: "trouble"}, ""},
 	}
 	for _, c := range cases {
 		var got string
@@ -54,7 +54,7 @@
 		}
 		var items []string
 		for _, it := range d.Items {
-			k := it.Key + "@" + json.Number(jsonInt(it.Stamp)).String()
+			k := it.Key + "@" + json.Number(jsonInt(it.ModRevision)).String()
 			if it.Removed {
 				k = "-" + k
 			}
