--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -183,7 +183,7 @@
 	}
 	m := PeerMsg{Kind: MsgVoteRequest, Ask: s.cfg.Incarnation, Version: s.cfg.Version, Term: t.Term, Stamp: t.TermModRevision, Sent: s.now, StoreOK: s.isStoreReachable(), StoreAge: s.sinceStoreContact()}
 	if s.caughtUp {
-		s.shared(s.revision)
+		s.acknowledgeUpTo(s.revision)
 		m.Rev, m.Read = s.revision, s.now-s.completeReadAt > s.electionConfig.MaxStaleness/4
 	}
 	for _, p := range s.cfg.Peers {
--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -14,42 +14,42 @@
 const (
 	// maxWatchedCancellations bounds what is kept for the log.
 	maxWatchedCancellations = 2000
-	// cancellationWarning is the part of the time allowed after which the log
+	// cancellationWarningShare is the part of the time allowed after which the log
 	// warns of tasks that are still to be seen.
-	cancellationWarning = 0.5
+	cancellationWarningShare = 0.5
 )
 
-// cancellation is what is kept of one cancelled job.
-type cancellation struct {
+// cancellationRecord is what is kept of one cancelled job.
+type cancellationRecord struct {
 	job         *job
 	revision    uint64        // of the state service; 0: not known any more
 	confirmed   bool          // this controller has told a user
-	stops       int           // stop orders sent
+	stopCount   int           // stop orders sent
 	firstStopAt time.Duration // 0: none was sent
 	lastStopAt  time.Duration
 }
 
 // cancellationWatch holds the cancellations of which the log still has to tell.
 type cancellationWatch struct {
-	watched  map[string]*cancellation
-	reviewAt time.Duration // the next line on those outstanding
+	watched      map[string]*cancellationRecord
+	nextReviewAt time.Duration // the next line on those outstanding
 }
 
 // watchCancellation begins to keep what is logged of j's cancellation.
-func (s *State) watchCancellation(j *job, revision uint64) *cancellation {
+func (s *State) watchCancellation(j *job, revision uint64) *cancellationRecord {
 	if c := s.watched[j.ID]; c != nil {
 		return c
 	}
 	if len(s.watched) >= maxWatchedCancellations {
 		return nil
 	}
-	c := &cancellation{job: j, revision: revision}
+	c := &cancellationRecord{job: j, revision: revision}
 	s.watched[j.ID] = c
 	return c
 }
 
-// cancellationLearnt notes that this controller has learnt of a cancellation.
-func (s *State) cancellationLearnt(j *job, revision uint64) {
+// logCancellationLearnt notes that this controller has learnt of a cancellation.
+func (s *State) logCancellationLearnt(j *job, revision uint64) {
 	if !s.loaded {
 		return // the first reading brings those of all time
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// cancellationConfirmed notes that a user is told of a cancellation.
-func (s *State) cancellationConfirmed(j *job) {
+// logCancellationConfirmed notes that a user is told of a cancellation.
+func (s *State) logCancellationConfirmed(j *job) {
 	if j.phase != model.PhaseAborted {
 		return
 	}
@@ -71,17 +71,17 @@
 	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.overAt, "leading", s.IsLeader())
 }
 
-// stopsSent notes the stops among the orders that a machine is sent.
-func (s *State) stopsSent(m *machine, orders []model.Order, way string) {
+// recordStopsSent notes the stops among the orders that a machine is sent.
+func (s *State) recordStopsSent(m *machine, orders []model.Order, way string) {
 	for _, o := range orders {
 		if o.Verb == model.Kill {
-			s.stopSent(o.Task, m.host, way)
+			s.recordStopSent(o.Task, m.host, way)
 		}
 	}
 }
 
-// stopSent notes that a worker is sent a stop of a cancelled job's task.
-func (s *State) stopSent(task, host, way string) {
+// recordStopSent notes that a worker is sent a stop of a cancelled job's task.
+func (s *State) recordStopSent(task, host, way string) {
 	id, _, _ := model.SplitTask(task)
 	j := s.jobs[id]
 	if j == nil || j.phase != model.PhaseAborted {
@@ -91,26 +91,26 @@
 	if c == nil {
 		return
 	}
-	if c.stops == 0 {
+	if c.stopCount == 0 {
 		c.firstStopAt = s.now
 	}
-	c.stops++
+	c.stopCount++
 	c.lastStopAt = s.now
-	s.debug("stop of a cancelled task sent", "task", task, "host", host, "by", way, "term", s.leadership.Term)
+	s.logDebug("stop of a cancelled task sent", "task", task, "host", host, "by", way, "term", s.leadership.Term)
 }
 
-// leaseRenewed notes the answer that renews a worker's lease, and by what right.
-func (s *State) leaseRenewed(m *machine, r *model.Report, orders int) {
+// logLeaseRenewed notes the answer that renews a worker's lease, and by what right.
+func (s *State) logLeaseRenewed(m *machine, r *model.Report, orders int) {
 	if !s.cfg.DebugLog {
 		return // a line a report: what it tells isn't even worked out otherwise
 	}
 	l := s.leadership
-	s.debug("lease renewed", "host", m.host, "session", r.Session, "seq", r.Seq, "adopted", m.adopted, "orders", orders, "epoch", s.epoch(m),
+	s.logDebug("lease renewed", "host", m.host, "session", r.Session, "seq", r.Seq, "adopted", m.reconciled, "orders", orders, "epoch", s.epoch(m),
 		"until", l.ValidUntil(), "key_until", l.KeyValidUntil(), "view_until", l.ViewValidUntil(), "now", s.now)
 }
 
-// debug logs a line that is worth its cost only while an operator asks for it.
-func (s *State) debug(text string, args ...any) {
+// logDebug logs a line that is worth its cost only while an operator asks for it.
+func (s *State) logDebug(text string, args ...any) {
 	if s.cfg.DebugLog {
 		s.log(slog.LevelDebug, text, args...)
 	}
@@ -119,12 +119,12 @@
 // reviewCancellations tells once a report interval of the cancellations whose
 // tasks may still be there, and of each whose tasks are gone.
 func (s *State) reviewCancellations() {
-	if s.now < s.reviewAt {
+	if s.now < s.nextReviewAt {
 		return
 	}
-	s.reviewAt = s.now + s.cfg.ReportInterval
-	shown := s.jobsOfOrphans()
-	var oldest *cancellation
+	s.nextReviewAt = s.now + s.cfg.ReportInterval
+	shown := s.jobsWithOrphanedTasks()
+	var oldest *cancellationRecord
 	outstanding := 0
 	for _, id := range sortedKeys(s.watched) {
 		c := s.watched[id]
@@ -141,22 +141,22 @@
 		return
 	}
 	level, known := slog.LevelInfo, s.now-oldest.job.overAt
-	if float64(known) >= cancellationWarning*float64(s.cfg.CancelWithin) {
+	if float64(known) >= cancellationWarningShare*float64(s.cfg.CancelWithin) {
 		level = slog.LevelWarn
 	}
 	s.log(level, "cancelled tasks outstanding", "jobs", outstanding, "oldest", oldest.job.ID, "known_for", known, "allowed", s.cfg.CancelWithin,
-		"stops", oldest.stops, "term", s.leadership.Term)
+		"stops", oldest.stopCount, "term", s.leadership.Term)
 }
 
 // endCancellationWatch forgets a cancellation: its tasks are gone as far as this
 // leader can know, or it is another controller's to look after them.
-func (s *State) endCancellationWatch(id string, c *cancellation) {
+func (s *State) endCancellationWatch(id string, c *cancellationRecord) {
 	over := s.now - c.job.overAt
 	switch {
-	case s.IsLeader() && s.settled:
+	case s.IsLeader() && s.takeoverComplete:
 		delete(s.watched, id)
-		if c.stops > 0 {
-			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", over, "stops", c.stops,
+		if c.stopCount > 0 {
+			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", over, "stops", c.stopCount,
 				"first_stop_after", c.firstStopAt-c.job.overAt, "last_stop_after", c.lastStopAt-c.job.overAt, "term", s.leadership.Term)
 		}
 	case over > s.cfg.CancelWithin:
@@ -164,12 +164,12 @@
 	}
 }
 
-// jobsOfOrphans are the jobs whose tasks are seen on machines that shouldn't have
+// jobsWithOrphanedTasks are the jobs whose tasks are seen on machines that shouldn't have
 // them.
-func (s *State) jobsOfOrphans() map[string]bool {
+func (s *State) jobsWithOrphanedTasks() map[string]bool {
 	jobs := map[string]bool{}
 	for _, m := range s.machinesWithOrphans {
-		for task := range m.orphans {
+		for task := range m.orphanedTasks {
 			id, _, _ := model.SplitTask(task)
 			jobs[id] = true
 		}
--- a/internal/core/cancellation_watch_test.go
+++ b/internal/core/cancellation_watch_test.go
@@ -10,8 +10,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// logLines are the lines of a level and text among effects.
-func logLines(effects []Effect, level slog.Level, text string) int {
+// countLogLines are the lines of a level and text among effects.
+func countLogLines(effects []Effect, level slog.Level, text string) int {
 	n := 0
 	for _, e := range effects {
 		if l, ok := e.(Log); ok && l.Level == level && l.Text == text {
@@ -25,13 +25,13 @@
 // cancelled, whose task a machine still shows.
 func leaderWithCancelledTask() (*State, *job) {
 	s := alone()
-	s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
+	s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
 	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
 	spec := &model.Job{ID: "req-000001", Team: "t", Tasks: 1, Kind: model.Service}
 	s.apply(Item{Key: prefixJobs + spec.ID, Value: mustMarshal(jobValue{Spec: spec}), ModRevision: 5})
-	m := s.machine("n-1")
-	m.session, m.adopted = 1, true
-	s.piece(m, model.TaskReport{Task: "req-000001/0", Attempt: 7, State: model.TaskRunning}, &model.Report{Session: 1})
+	m := s.ensureMachine("n-1")
+	m.session, m.reconciled = 1, true
+	s.applyTaskReport(m, model.TaskReport{Task: "req-000001/0", Attempt: 7, State: model.TaskRunning}, &model.Report{Session: 1})
 	s.now = 10 * time.Second
 	s.apply(Item{Key: prefixJobs + spec.ID, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 	return s, s.jobs[spec.ID]
@@ -41,13 +41,13 @@
 // are still to be seen after half of the time allowed, and says when they are gone.
 func TestCancellationLog(t *testing.T) {
 	s, j := leaderWithCancelledTask()
-	if logLines(s.effects, slog.LevelInfo, "cancellation learnt") != 1 {
+	if countLogLines(s.effects, slog.LevelInfo, "cancellation learnt") != 1 {
 		t.Errorf("not learnt: %v", s.effects)
 	}
 	for range 2 {
-		s.tell(requester{requestID: 1}, j)
+		s.replyWithStatus(requester{requestID: 1}, j)
 	}
-	if n := logLines(s.effects, slog.LevelInfo, "cancellation confirmed"); n != 1 {
+	if n := countLogLines(s.effects, slog.LevelInfo, "cancellation confirmed"); n != 1 {
 		t.Errorf("confirmed %d times, want one line", n)
 	}
 	for _, c := range []struct {
@@ -57,15 +57,15 @@
 		s.now, s.effects = c.at, nil
 		s.reviewCancellations()
 		s.reviewCancellations() // once a report interval
-		if n := logLines(s.effects, c.level, "cancelled tasks outstanding"); n != 1 {
+		if n := countLogLines(s.effects, c.level, "cancelled tasks outstanding"); n != 1 {
 			t.Errorf("at %v: %d lines of level %v, want 1: %v", c.at, n, c.level, s.effects)
 		}
 	}
-	s.stopsSent(s.machines["n-1"], []model.Order{j.tasks[0].killOrder()}, "answer")
+	s.recordStopsSent(s.machines["n-1"], []model.Order{j.tasks[0].killOrder()}, "answer")
 	s.unbind(j.tasks[0], model.CauseStopped)
 	s.now, s.effects = 28*time.Second, nil
 	s.reviewCancellations()
-	if logLines(s.effects, slog.LevelInfo, "cancelled tasks gone") != 1 || len(s.watched) != 0 {
+	if countLogLines(s.effects, slog.LevelInfo, "cancelled tasks gone") != 1 || len(s.watched) != 0 {
 		t.Errorf("%d cancellations still watched after the last task was gone: %v", len(s.watched), s.effects)
 	}
 }
@@ -95,8 +95,8 @@
 		s, j := leaderWithCancelledTask()
 		s.cfg.DebugLog, s.effects = wanted, nil
 		m := s.machines["n-1"]
-		s.renewLease(pendingReport{m: m, r: &model.Report{}}, []model.Order{j.tasks[0].killOrder()})
-		got := logLines(s.effects, slog.LevelDebug, "lease renewed") + logLines(s.effects, slog.LevelDebug, "stop of a cancelled task sent")
+		s.renewLease(pendingReport{machine: m, report: &model.Report{}}, []model.Order{j.tasks[0].killOrder()})
+		got := countLogLines(s.effects, slog.LevelDebug, "lease renewed") + countLogLines(s.effects, slog.LevelDebug, "stop of a cancelled task sent")
 		if (got == 2) != wanted || !wanted && got != 0 {
 			t.Errorf("debug lines wanted: %v, got %d", wanted, got)
 		}
--- a/internal/core/cancels.go
+++ b/internal/core/cancellations.go
@@ -16,26 +16,26 @@
 // lease its grantor tells no user of a cancellation that the leader hasn't
 // acknowledged. docs/design.md has the whole argument.
 
-// cancels is what a controller keeps for that.
-type cancels struct {
-	// unshared are the cancelled jobs of which the leader isn't known to know,
+// cancellationState is what a controller keeps for that.
+type cancellationState struct {
+	// unacknowledged are the cancelled jobs of which the leader isn't known to know,
 	// with the version of each.
-	unshared map[string]uint64
-	untold   []untold // users whose answer waits for the leader's acknowledgement
+	unacknowledged       map[string]uint64
+	pendingConfirmations []pendingConfirmation // users whose answer waits for the leader's acknowledgement
 }
 
-// untold is a user who asked about a job that is cancelled.
-type untold struct {
-	from  requester
-	job   *job
-	until time.Duration
+// pendingConfirmation is a user who asked about a job that is cancelled.
+type pendingConfirmation struct {
+	requester requester
+	job       *job
+	deadline  time.Duration
 }
 
-// staleness is how old a leader's view of the cancellations may be: once it has
+// maxViewAge is how old a leader's view of the cancellations may be: once it has
 // stopped, the workers' leases run out. A sixteenth and the drift of the clocks
 // stay in reserve. With hardly more time than a lease to cancel in, it is what a
 // leader needs to be one at all.
-func staleness(cfg Config) time.Duration {
+func maxViewAge(cfg Config) time.Duration {
 	spare := cfg.CancelWithin - cfg.Lease
 	return max(spare-spare/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
 }
@@ -47,65 +47,65 @@
 // lease without the stop (renewLease). docs/design.md has the sum term by term.
 func (c Config) CancelBound() time.Duration {
 	drift := time.Duration(float64(c.Lease) * 2 * ClockDrift)
-	return staleness(c) + c.Lease + drift
+	return maxViewAge(c) + c.Lease + drift
 }
 
-// mostUnshared bounds what is told at a time; with more, no read lease is
+// maxUnacknowledged bounds what is told at a time; with more, no read lease is
 // granted.
-const mostUnshared = 2000
+const maxUnacknowledged = 2000
 
-// hasRead notes that this copy is complete as of sent.
-func (s *State) hasRead(sent time.Duration) {
+// recordCompleteRead notes that this copy is complete as of sent.
+func (s *State) recordCompleteRead(sent time.Duration) {
 	s.completeReadAt = max(s.completeReadAt, sent)
 	if s.leadership != nil {
 		s.leadership.RecordRead(sent)
 	}
 }
 
-// shared notes that whoever leads knows of all changes up to rev.
-func (s *State) shared(rev uint64) {
-	for id, stamp := range s.unshared {
+// acknowledgeUpTo notes that whoever leads knows of all changes up to rev.
+func (s *State) acknowledgeUpTo(rev uint64) {
+	for id, stamp := range s.unacknowledged {
 		if stamp <= rev {
-			delete(s.unshared, id)
+			delete(s.unacknowledged, id)
 		}
 	}
 }
 
-// leaseRead grants a read lease with a promise, if the leader asks for one and
+// grantReadLease grants a read lease with a promise, if the leader asks for one and
 // this node has lost the state service as well: with it, this node could be
 // asked to confirm cancellations, and the leader had better go. Both measures
 // are well above what passes between two reads on an ordinary day: leased then,
 // cancellations would wait for a leader that has just ended.
-func (s *State) leaseRead(requestVotes PeerMsg, reply *PeerMsg) {
-	if !requestVotes.Read || s.sinceStoreContact() < s.electionConfig.MaxStaleness/8 || len(s.unshared) > mostUnshared {
+func (s *State) grantReadLease(requestVotes PeerMsg, reply *PeerMsg) {
+	if !requestVotes.Read || s.sinceStoreContact() < s.electionConfig.MaxStaleness/8 || len(s.unacknowledged) > maxUnacknowledged {
 		return
 	}
 	s.voter.GrantReadLease(s.now, requestVotes.Term)
-	reply.Read, reply.Loaded, reply.Age, reply.Counts = true, s.loaded, s.now-s.startedAt, s.cancelled()
+	reply.Read, reply.Loaded, reply.Age, reply.Counts = true, s.loaded, s.now-s.startedAt, s.unacknowledgedRevisions()
 }
 
-// cancelled lists what the leader may not know of.
-func (s *State) cancelled() map[string]int {
-	list := make(map[string]int, len(s.unshared))
-	for id, stamp := range s.unshared {
+// unacknowledgedRevisions lists what the leader may not know of.
+func (s *State) unacknowledgedRevisions() map[string]int {
+	list := make(map[string]int, len(s.unacknowledged))
+	for id, stamp := range s.unacknowledged {
 		list[id] = int(stamp)
 	}
 	return list
 }
 
-// readLeased takes a read lease and what comes with it.
-func (s *State) readLeased(from string, m PeerMsg) {
+// applyReadLease takes a read lease and what comes with it.
+func (s *State) applyReadLease(from string, m PeerMsg) {
 	if !m.Read {
 		return
 	}
-	s.learn(from, m.Counts)
+	s.learnCancellations(from, m.Counts)
 	age := m.Age - time.Duration(float64(m.Age)*2*ClockDrift)
 	s.leadership.RecordReadLease(from, m.Sent, s.now-age, m.Loaded)
 }
 
-// learn takes cancellations from another controller. They are durable, and a
+// learnCancellations takes cancellations from another controller. They are durable, and a
 // leader acknowledges them.
-func (s *State) learn(from string, list map[string]int) {
+func (s *State) learnCancellations(from string, list map[string]int) {
 	for _, id := range sortedKeys(list) {
 		s.apply(Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: uint64(list[id])})
 	}
@@ -114,57 +114,57 @@
 	}
 }
 
-// acknowledged notes what a leader knows of. Its successors have read it.
-func (s *State) acknowledged(m PeerMsg) {
+// handleAcknowledgement notes what a leader knows of. Its successors have read it.
+func (s *State) handleAcknowledgement(m PeerMsg) {
 	if m.Term < s.term {
 		return // its successor may have been elected before the cancellation
 	}
 	for id, stamp := range m.Counts {
-		if s.unshared[id] == uint64(stamp) {
-			delete(s.unshared, id)
+		if s.unacknowledged[id] == uint64(stamp) {
+			delete(s.unacknowledged, id)
 		}
 	}
-	s.tellWaiting()
+	s.answerPendingConfirmations()
 }
 
-// mayTell says whether a user may be told that j is cancelled.
-func (s *State) mayTell(j *job) bool {
-	_, unshared := s.unshared[j.ID]
+// canConfirm says whether a user may be told that j is cancelled.
+func (s *State) canConfirm(j *job) bool {
+	_, unshared := s.unacknowledged[j.ID]
 	return !unshared || j.phase != model.PhaseAborted || s.IsLeader() || !s.voter.HasReadLease(s.now, s.term)
 }
 
-// tell answers with a job's state. Of a cancellation nobody is told before the
+// replyWithStatus answers with a job's state. Of a cancellation nobody is told before the
 // leader knows of it, where it relies on that; it is asked, and after a moment
 // without its word the user is told to come back.
-func (s *State) tell(o requester, j *job) {
-	if s.mayTell(j) {
-		s.cancellationConfirmed(j)
+func (s *State) replyWithStatus(o requester, j *job) {
+	if s.canConfirm(j) {
+		s.logCancellationConfirmed(j)
 		s.answer(o, 200, s.status(j), 0)
 		return
 	}
-	if len(s.untold) >= s.cfg.MaxRequests {
+	if len(s.pendingConfirmations) >= s.cfg.MaxRequests {
 		s.later(o, "too many requests under way")
 		return
 	}
-	s.untold = append(s.untold, untold{o, j, s.now + userWait/2})
+	s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{o, j, s.now + userWait/2})
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgCancelled, Counts: map[string]int{j.ID: int(s.unshared[j.ID])}}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgCancelled, Counts: map[string]int{j.ID: int(s.unacknowledged[j.ID])}}})
 	}
 }
 
-// tellWaiting answers the users who wait for that.
-func (s *State) tellWaiting() {
-	waiting := s.untold
-	s.untold = nil
+// answerPendingConfirmations answers the users who wait for that.
+func (s *State) answerPendingConfirmations() {
+	waiting := s.pendingConfirmations
+	s.pendingConfirmations = nil
 	for _, u := range waiting {
 		switch {
-		case s.mayTell(u.job):
-			s.cancellationConfirmed(u.job)
-			s.answer(u.from, 200, s.status(u.job), 0)
-		case s.now >= u.until:
-			s.later(u.from, "the leader does not answer")
+		case s.canConfirm(u.job):
+			s.logCancellationConfirmed(u.job)
+			s.answer(u.requester, 200, s.status(u.job), 0)
+		case s.now >= u.deadline:
+			s.later(u.requester, "the leader does not answer")
 		default:
-			s.untold = append(s.untold, u)
+			s.pendingConfirmations = append(s.pendingConfirmations, u)
 		}
 	}
 }
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -9,35 +9,35 @@
 
 // fleetState is the leader's dealings with the cloud.
 type fleetState struct {
-	listing  bool
-	listAt   time.Duration
-	planAt   time.Duration
-	renting  int    // requests under way
-	rentals  uint64 // numbers the requests of this term
-	unsure   bool   // a rental had no answer: machines may come that look like found ones
-	returnBy bool
-	// refused keeps offers that the cloud had no capacity for: not asked
+	listInFlight      bool
+	nextListAt        time.Duration
+	nextPlanAt        time.Duration
+	rentalsInFlight   int    // requests under way
+	lastRentalNumber  uint64 // numbers the requests of this term
+	rentalUnconfirmed bool   // a rental had no answer: machines may come that look like found ones
+	returnInFlight    bool
+	// refusedOffers keeps offers that the cloud had no capacity for: not asked
 	// again before, with pauses that grow.
-	refused   map[offerKey]*refusal
-	returned  map[string]time.Duration
-	zones     map[string]zoneState     // as of the last second
-	silentAt  map[string]time.Duration // since when a zone is out of reach
-	zoneBack  map[string]time.Duration // when one was last heard of again
-	limitTold bool                     // that the operators' limit on machines was reached
-	// inReach is how many machines there are outside the zones that are cut off,
+	refusedOffers        map[offerKey]*refusal
+	returnedAt           map[string]time.Duration
+	zones                map[string]zoneState     // as of the last second
+	zoneUnreachableSince map[string]time.Duration // since when a zone is out of reach
+	zoneRecoveredAt      map[string]time.Duration // when one was last heard of again
+	limitLogged          bool                     // that the operators' limit on machines was reached
+	// reachableMachines is how many machines there are outside the zones that are cut off,
 	// unaccountedNow how many of them have still to show their tasks.
-	inReach        int
-	unaccountedNow int
+	reachableMachines   int
+	unaccountedMachines int
 }
 
-func (s *State) startFleet() {
-	s.fleetState = fleetState{refused: map[offerKey]*refusal{}}
-	s.listAt = s.now
-	s.planAt = s.now + time.Second
+func (s *State) resetFleet() {
+	s.fleetState = fleetState{refusedOffers: map[offerKey]*refusal{}}
+	s.nextListAt = s.now
+	s.nextPlanAt = s.now + time.Second
 }
 
-// cloud sends a call to the cloud, within its rate; false: not now.
-func (s *State) cloud(c CloudCall, done func(CloudResult)) bool {
+// callCloud sends a call to the cloud, within its rate; false: not now.
+func (s *State) callCloud(c CloudCall, done func(CloudResult)) bool {
 	if !s.cloudRate.AllowN(s.limiterTime(), 1) {
 		return false
 	}
@@ -46,9 +46,9 @@
 	return true
 }
 
-// pumpTypes learns the machine types: from the state service, or from the
+// refreshTypes learns the machine types: from the state service, or from the
 // cloud where nobody has written them down yet. The leader keeps prices new.
-func (s *State) pumpTypes() {
+func (s *State) refreshTypes() {
 	if s.now < s.nextTypesReadAt {
 		return
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	s.nextTypesReadAt = s.now + 3*time.Second
-	s.cloud(CloudCall{Op: CloudTypes}, func(d CloudResult) {
+	s.callCloud(CloudCall{Op: CloudTypes}, func(d CloudResult) {
 		if d.Status != 200 || len(d.Types) == 0 {
 			return
 		}
@@ -73,7 +73,7 @@
 	})
 }
 
-func (s *State) typesFromStore(value json.RawMessage) {
+func (s *State) loadTypes(value json.RawMessage) {
 	var list []model.MachineType
 	if json.Unmarshal(value, &list) == nil && len(list) > 0 {
 		s.setTypes(list)
@@ -98,68 +98,68 @@
 	}
 	s.typeList = list
 	for _, m := range s.machines {
-		s.describe(m, m.endpoint, m.typeName, m.zone, m.spot)
+		s.describeMachine(m, m.endpoint, m.typeName, m.zone, m.spot)
 	}
 	return changed
 }
 
 // cloudTick compares the machines there are with those that are wanted.
 func (s *State) cloudTick() {
-	if !s.listing && s.now >= s.listAt {
-		s.list("")
+	if !s.listInFlight && s.now >= s.nextListAt {
+		s.listMachines("")
 	}
-	if s.now >= s.planAt {
-		s.planAt = s.now + time.Second
-		s.giveBack()
-		if s.settled {
-			s.rentMore()
+	if s.now >= s.nextPlanAt {
+		s.nextPlanAt = s.now + time.Second
+		s.returnMachines()
+		if s.takeoverComplete {
+			s.rentMissing()
 		}
 	}
 }
 
-func (s *State) list(after string) {
-	s.listing = true
+func (s *State) listMachines(after string) {
+	s.listInFlight = true
 	leadership := s.leadership
-	for _, host := range sortedKeys(s.returned) {
-		s.recentlyReturned(host) // forgets those of long ago
+	for _, host := range sortedKeys(s.returnedAt) {
+		s.wasRecentlyReturned(host) // forgets those of long ago
 	}
-	ok := s.cloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(d CloudResult) {
+	ok := s.callCloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(d CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
-		s.listing = false
-		s.listAt = s.now + max(s.cfg.ListLag/2, time.Second)
+		s.listInFlight = false
+		s.nextListAt = s.now + max(s.cfg.ListLag/2, time.Second)
 		if d.Status != 200 {
 			return
 		}
 		for _, l := range d.Listed {
-			s.listed(l)
+			s.applyListedMachine(l)
 		}
 		if d.More && len(d.Listed) > 0 {
-			s.list(d.Listed[len(d.Listed)-1].Host)
+			s.listMachines(d.Listed[len(d.Listed)-1].Host)
 		}
 	})
 	if !ok {
-		s.listing = false
+		s.listInFlight = false
 	}
 }
 
-// listed takes a line of the machine list. The list lags: what it lacks says
+// applyListedMachine takes a line of the machine list. The list lags: what it lacks says
 // nothing, and a machine that is gone may still be on it.
-func (s *State) listed(l model.Listed) {
+func (s *State) applyListedMachine(l model.Listed) {
 	m := s.machines[l.Host]
 	age := time.Duration(l.AgeS * float64(time.Second))
 	if m == nil {
 		if l.State == "failed" {
 			return
 		}
-		if s.recentlyReturned(l.Host) {
+		if s.wasRecentlyReturned(l.Host) {
 			return
 		}
-		m = s.machine(l.Host)
-		m.standing = s.foundFirst()
+		m = s.ensureMachine(l.Host)
+		m.preexisting = s.newMachinesArePreexisting()
 		m.rentedAt = s.now - age
-		s.describe(m, l.Endpoint, l.Type, l.Zone, l.Spot)
+		s.describeMachine(m, l.Endpoint, l.Type, l.Zone, l.Spot)
 		return
 	}
 	if m.endpoint == "" {
@@ -169,12 +169,12 @@
 	// its minimum charge kept it for a minute with nothing to do.
 	m.rentedAt = min(m.rentedAt, s.now-age)
 	if l.State == "failed" && s.now-m.lastReplyAt > s.cfg.Lease/2 {
-		m.dead = true
+		m.failed = true
 	}
 }
 
-// foundFirst says whether a machine that turns up now must have been there
+// newMachinesArePreexisting says whether a machine that turns up now must have been there
 // before the service first started: nobody can have rented it.
-func (s *State) foundFirst() bool {
-	return s.firstTerm && !s.unsure
+func (s *State) newMachinesArePreexisting() bool {
+	return s.firstTerm && !s.rentalUnconfirmed
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -12,8 +12,8 @@
 
 // commandState is what concerns direct commands.
 type commandState struct {
-	directs   int // under way
-	reachFrom int // of order: the next machine to look after
+	commandsInFlight int // under way
+	nextCommandIndex int // of order: the next machine to look after
 }
 
 // mayProbe says whether a machine may be asked whether it is there. Direct
@@ -21,7 +21,7 @@
 // (Config.Directs). A quarter is kept for starts and stops: when hundreds of
 // machines fall silent at once, each question holds its socket until it is
 // given up.
-func (s *State) mayProbe() bool { return s.directs < max(1, s.cfg.MaxDirectCommands*3/4) }
+func (s *State) mayProbe() bool { return s.commandsInFlight < max(1, s.cfg.MaxDirectCommands*3/4) }
 
 func (s *State) epoch(m *machine) uint64 { return s.epochBase() | m.fence }
 
@@ -33,55 +33,55 @@
 	}
 }
 
-// reachOut sends direct commands: to machines not heard of in this term, and
+// sendCommands sends direct commands: to machines not heard of in this term, and
 // where tasks wait to be started or stopped.
-func (s *State) reachOut() {
+func (s *State) sendCommands() {
 	if !s.IsLeader() {
 		return
 	}
-	first := s.reachFrom
+	first := s.nextCommandIndex
 	for i := range s.machinesByName {
 		at := (first + i) % len(s.machinesByName)
 		m := s.machinesByName[at]
-		if m.direct || m.endpoint == "" || m.returning {
+		if m.commandInFlight || m.endpoint == "" || m.returning {
 			continue
 		}
-		if s.directs >= s.cfg.MaxDirectCommands {
+		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
 			return
 		}
 		// Whoever is left over when the sockets are used up has its turn next:
 		// begun from the front each time, a zone that was cut off had all of them
 		// for its own, and the few that everybody waited for were never asked.
 		if s.mayProbe() {
-			s.reachFrom = at
+			s.nextCommandIndex = at
 		}
 		switch {
-		case m.proof != nil && s.mayProbe():
-			s.command(m, nil, nil)
-		case s.now < m.directAt:
-		case m.unsent && m.adopted && s.now-m.heard <= 2*s.cfg.ReportInterval:
-			s.flush(m)
-		case s.mayProbe() && s.wantsProbe(m):
-			s.command(m, nil, nil)
+		case m.unverifiedReport != nil && s.mayProbe():
+			s.sendCommand(m, nil, nil)
+		case s.now < m.nextCommandAt:
+		case m.hasUnsentOrders && m.reconciled && s.now-m.lastHeardAt <= 2*s.cfg.ReportInterval:
+			s.sendUnsentOrders(m)
+		case s.mayProbe() && s.needsProbe(m):
+			s.sendCommand(m, nil, nil)
 		}
 	}
 }
 
-// wantsProbe says whether m is to be asked whether it is there.
-func (s *State) wantsProbe(m *machine) bool {
+// needsProbe says whether m is to be asked whether it is there.
+func (s *State) needsProbe(m *machine) bool {
 	switch {
-	case m.silentSince != 0 && s.directs >= s.cfg.MaxDirectCommands/4:
+	case m.unresponsiveSince != 0 && s.commandsInFlight >= s.cfg.MaxDirectCommands/4:
 		return false // a zone that is cut off must not take all the turns
-	case !m.adopted:
+	case !m.reconciled:
 		// Once it has reported in this term, its next report shows the
 		// epoch, at once.
-		return m.rostered && !m.lapsed && (m.answeredEpoch == 0 || s.now-m.heard > s.cfg.ReportInterval)
+		return m.registered && !m.leaseExpired && (m.answeredEpoch == 0 || s.now-m.lastHeardAt > s.cfg.ReportInterval)
 	}
-	return s.now-m.heard > 2*s.cfg.ReportInterval || m.reach.lost && m.seen < m.reach.epoch
+	return s.now-m.lastHeardAt > 2*s.cfg.ReportInterval || m.reachability.unreachable && m.highestEpoch < m.reachability.recoveryEpoch
 }
 
-// flush sends m's unsent starts and stops directly.
-func (s *State) flush(m *machine) {
+// sendUnsentOrders sends m's unsent starts and stops directly.
+func (s *State) sendUnsentOrders(m *machine) {
 	var open []*task
 	for _, t := range m.tasks {
 		if !t.issued || t.killing {
@@ -95,7 +95,7 @@
 		if len(orders) >= 100 {
 			break
 		}
-		if !t.issued && !t.killing && m.rostered {
+		if !t.issued && !t.killing && m.registered {
 			orders = append(orders, model.Order{Verb: model.Start, Task: t.name, Attempt: t.attempt})
 			starts = append(starts, t)
 		} else if t.killing && t.killAt != 0 && t.state != "" {
@@ -104,85 +104,85 @@
 		}
 	}
 	if len(orders) > 0 {
-		s.command(m, orders, starts)
+		s.sendCommand(m, orders, starts)
 	} else {
-		m.unsent = false
+		m.hasUnsentOrders = false
 	}
 }
 
-// command sends m orders under its present epoch, or an empty command that asks
+// sendCommand sends m orders under its present epoch, or an empty command that asks
 // for its report. starts are the tasks that the orders start.
-func (s *State) command(m *machine, orders []model.Order, starts []*task) {
+func (s *State) sendCommand(m *machine, orders []model.Order, starts []*task) {
 	epoch, leadership := s.epoch(m), s.leadership
 	session, seq, sent := m.session, m.seq, s.now
-	m.direct = true
-	s.directs++
+	m.commandInFlight = true
+	s.commandsInFlight++
 	for _, t := range starts {
 		t.issued, t.directEpoch = true, epoch
 	}
 	if orders == nil {
 		orders = []model.Order{}
 	}
-	s.stopsSent(m, orders, "command")
+	s.recordStopsSent(m, orders, "command")
 	c := AgentCall{Host: m.host, Endpoint: m.endpoint, Epoch: epoch, Session: m.session, Orders: orders, SendBefore: leadership.ValidUntil()}
 	c.CallID = s.registerCall(func(res any) {
 		d := res.(AgentResult)
 		if s.leadership != leadership {
 			return
 		}
-		s.directs--
+		s.commandsInFlight--
 		if s.machines[m.host] != m {
-			s.proven(m, false)
+			s.finishVerification(m, false)
 			return
 		}
-		m.direct = false
-		defer func() { s.proven(m, d.Report != nil) }()
+		m.commandInFlight = false
+		defer func() { s.finishVerification(m, d.Report != nil) }()
 		if d.Report == nil || d.Status != 200 && d.Status != 409 {
-			s.commandUnanswered(m, epoch, sent, len(orders) > 0)
+			s.handleUnansweredCommand(m, epoch, sent, len(orders) > 0)
 			return
 		}
-		s.startsAnswered(m, starts, epoch, d.Status)
+		s.recordStartOutcome(m, starts, epoch, d.Status)
 		r := d.Report
 		if r.Session < session || r.Session == session && r.Seq <= seq {
 			// Older than what it had shown before it was asked.
-			s.begunAnew(m, r)
+			s.handleRestart(m, r)
 		}
 		if r.Session > m.session || r.Session == m.session && r.Seq > m.seq {
-			s.report(m, r, false)
+			s.applyReport(m, r, false)
 		}
 		if d.Status == 409 {
-			m.directAt = s.now + s.cfg.ReportInterval/4
-			if !m.adopted {
-				m.directAt = s.now // the session is known now: ask again
+			m.nextCommandAt = s.now + s.cfg.ReportInterval/4
+			if !m.reconciled {
+				m.nextCommandAt = s.now // the session is known now: ask again
 			}
 		}
-		if s.IsLeader() && !m.direct && s.now >= m.directAt {
-			s.flush(m)
+		if s.IsLeader() && !m.commandInFlight && s.now >= m.nextCommandAt {
+			s.sendUnsentOrders(m)
 		}
 	})
 	s.emit(c)
 }
 
-// commandUnanswered takes that a command had no answer: perhaps it runs later.
+// handleUnansweredCommand takes that a command had no answer: perhaps it runs later.
 // The fence is raised, so that the next report rules that out, and the rest is
 // left to the reports.
-func (s *State) commandUnanswered(m *machine, epoch uint64, sent time.Duration, orders bool) {
+func (s *State) handleUnansweredCommand(m *machine, epoch uint64, sent time.Duration, orders bool) {
 	if orders {
-		m.doubt = max(m.doubt, epoch)
+		m.unconfirmedEpoch = max(m.unconfirmedEpoch, epoch)
 		s.raiseFence(m)
 	}
-	m.directAt = s.now + s.cfg.Lease/8
-	m.askedInVain = true
-	if m.heard > sent {
+	m.nextCommandAt = s.now + s.cfg.Lease/8
+	m.hasUnansweredCommand = true
+	if m.lastHeardAt > sent {
 		s.countMissedDelivery(m) // it reports meanwhile, so it is there
 	}
 }
 
-// startsAnswered takes the outcome of starts. A copy of a command that was
+// recordStartOutcome takes the outcome of starts. A copy of a command that was
 // carried out may come late. Whatever makes its starts possible again (a forget,
 // another attempt) goes out under a higher epoch, so that the copy is refused by
 // then: it once started a task a second time.
-func (s *State) startsAnswered(m *machine, starts []*task, epoch uint64, status int) {
+func (s *State) recordStartOutcome(m *machine, starts []*task, epoch uint64, status int) {
 	if len(starts) > 0 {
 		s.raiseFence(m)
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -320,12 +320,12 @@
 		cfg.ReportInterval, cfg.Lease, cfg.MaxClockSkew = c.report, 6*c.report, time.Second
 		s := New(cfg, 0)
 		s.leadership, s.pages = election.NewLeadership(s.electionConfig, 0, 1, 0), map[int]*registryPage{}
-		m := s.machine("n-000001")
-		m.page, m.rostered = 1, true
+		m := s.ensureMachine("n-000001")
+		m.page, m.registered = 1, true
 		marked := func(at time.Duration) bool {
 			s.now, s.nextUnresponsiveCheckAt = at, 0
 			s.markUnresponsiveMachines()
-			return m.silentSince != 0
+			return m.unresponsiveSince != 0
 		}
 		if marked(c.want - time.Millisecond) {
 			t.Errorf("reports every %v: marked before %v of silence", c.report, c.want)
@@ -431,11 +431,11 @@
 		s.now, s.electedAt = at(c.now), at(c.elected)
 		j := &job{Job: model.Job{ID: "req-000001"}, phase: model.PhaseAborted, overAt: at(c.seen)}
 		s.jobs[j.ID] = j
-		bound, orphaned := s.machine("n-1"), s.machine("n-2")
+		bound, orphaned := s.ensureMachine("n-1"), s.ensureMachine("n-2")
 		bound.tasks["req-000001/0"] = &task{job: j}
-		orphaned.orphans["req-000001/1"] = model.TaskReport{Task: "req-000001/1"}
+		orphaned.orphanedTasks["req-000001/1"] = model.TaskReport{Task: "req-000001/1"}
 		for _, m := range []*machine{bound, orphaned} {
-			if got := s.overdue(m); got != c.want {
+			if got := s.hasOverdueCancelledTasks(m); got != c.want {
 				t.Errorf("%s, seen at %v, elected at %v, now %v: given up: %v, want %v", m.host, c.seen, c.elected, c.now, got, c.want)
 			}
 		}
@@ -452,9 +452,9 @@
 	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Gang}}), ModRevision: 5})
 	j := s.jobs["req-000001"]
 	shows := func(host string, index int, attempt uint64, state, cause string) *machine {
-		m := s.machine(host)
+		m := s.ensureMachine(host)
 		m.session = 1
-		s.piece(m, model.TaskReport{Task: model.TaskName(j.ID, index), Attempt: attempt, State: state, Cause: cause}, &model.Report{Session: 1})
+		s.applyTaskReport(m, model.TaskReport{Task: model.TaskName(j.ID, index), Attempt: attempt, State: state, Cause: cause}, &model.Report{Session: 1})
 		return m
 	}
 	a := shows("n-1", 0, 7, model.TaskGathering, "")
@@ -482,19 +482,19 @@
 func TestNewLeaderLearnsAges(t *testing.T) {
 	s := alone()
 	s.types["small"] = &model.MachineType{Name: "small", BootS: 10}
-	m := s.machine("n-1")
-	s.describe(m, "e", "small", "a", false)
+	m := s.ensureMachine("n-1")
+	s.describeMachine(m, "e", "small", "a", false)
 	s.now, s.electedAt = 100*time.Second, 90*time.Second
 	m.rentedAt, m.idleSince = s.electedAt, s.electedAt
-	if s.idleEnough(m) {
+	if s.isIdleLongEnough(m) {
 		t.Error("given back before it is known that its minimum charge is used up")
 	}
-	s.listed(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 70})
-	if !s.idleEnough(m) {
+	s.applyListedMachine(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 70})
+	if !s.isIdleLongEnough(m) {
 		t.Error("kept though the cloud says that it was rented 70 s ago")
 	}
-	s.listed(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 20})
-	if !s.idleEnough(m) {
+	s.applyListedMachine(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 20})
+	if !s.isIdleLongEnough(m) {
 		t.Error("an older list made it younger")
 	}
 }
--- a/internal/core/wants.go
+++ b/internal/core/demand.go
@@ -11,8 +11,8 @@
 
 // What is planned with: what waits, what is there or on its way, what may be had.
 
-// soonestBoot is the boot time of the type that is up first.
-func (s *State) soonestBoot() time.Duration {
+// shortestBoot is the boot time of the type that is up first.
+func (s *State) shortestBoot() time.Duration {
 	boot := 0.0
 	for i := range s.typeList {
 		if b := s.typeList[i].BootS; boot == 0 || b < boot {
@@ -22,45 +22,45 @@
 	return time.Duration(boot * float64(time.Second))
 }
 
-// wants lists what waits, most urgent first, and the room to keep free.
-func (s *State) wants() []fleet.Want {
-	var wants []fleet.Want
-	for _, j := range s.queueForFleet() {
+// demands lists what waits, most urgent first, and the room to keep free.
+func (s *State) demands() []fleet.Demand {
+	var wants []fleet.Demand
+	for _, j := range s.waitingJobs() {
 		if s.now < j.gang.rentAt {
 			continue
 		}
-		w := s.want(j, j.waiting())
-		w.Patient = !s.pressing(j)
+		w := s.demandFor(j, j.waiting())
+		w.CanWait = !s.isUrgent(j)
 		wants = append(wants, w)
 	}
 	if j := s.serviceNeed(); j != nil && s.cfg.SpareServices > 0 {
 		spare := &job{Job: j.Job}
 		spare.Spread, spare.Zone = false, ""
-		wants = append(wants, s.want(spare, s.cfg.SpareServices))
+		wants = append(wants, s.demandFor(spare, s.cfg.SpareServices))
 	}
 	if g := s.spareGang(); g != nil {
-		w := s.want(g, g.Tasks*s.cfg.SpareGangs)
-		w.Together = false // nothing waits for it yet
+		w := s.demandFor(g, g.Tasks*s.cfg.SpareGangs)
+		w.AllOrNothing = false // nothing waits for it yet
 		wants = append(wants, w)
 	}
 	return wants
 }
 
-// coming lists the room that there is or will be before a machine rented now
+// expectedCapacity lists the room that there is or will be before a machine rented now
 // could be up.
-func (s *State) coming() []fleet.Coming {
-	var list []fleet.Coming
-	horizon := s.now + s.soonestBoot()
+func (s *State) expectedCapacity() []fleet.ExpectedCapacity {
+	var list []fleet.ExpectedCapacity
+	horizon := s.now + s.shortestBoot()
 	for _, m := range s.machinesByName {
-		if s.zones[m.zone].silent || m.typ == nil || m.returning || m.dead || m.lapsed || m.slow || m.recallAt != 0 {
+		if s.zones[m.zone].unreachable || m.machineType == nil || m.returning || m.failed || m.leaseExpired || m.slow || m.reclaimAt != 0 {
 			continue
 		}
-		c := fleet.Coming{Type: m.typeName, Zone: m.zone, Spot: m.spot, Free: m.view.Capacity}
-		if m.up {
-			if m.reach.lost || s.now-m.heard >= s.silence() {
+		c := fleet.ExpectedCapacity{Type: m.typeName, Zone: m.zone, Spot: m.spot, Free: m.view.Capacity}
+		if m.hasReported {
+			if m.reachability.unreachable || s.now-m.lastHeardAt >= s.silence() {
 				continue // perhaps gone: not to be counted on
 			}
-			if c.Free = s.freeBy(m, horizon); c.Free.CPUs <= 0 || c.Free.MemoryGB <= 0 {
+			if c.Free = s.freeAt(m, horizon); c.Free.CPUs <= 0 || c.Free.MemoryGB <= 0 {
 				continue // full for longer: nothing to plan with
 			}
 		}
@@ -69,9 +69,9 @@
 	return list
 }
 
-// freeBy is the room of m at a time, if nothing more comes to it: room that
+// freeAt is the room of m at a time, if nothing more comes to it: room that
 // running work should free is as good as a rented machine.
-func (s *State) freeBy(m *machine, at time.Duration) sched.Resources {
+func (s *State) freeAt(m *machine, at time.Duration) sched.Resources {
 	s.refreshView(m)
 	free := m.view.Free
 	for _, r := range m.view.Running {
@@ -83,18 +83,18 @@
 	return free
 }
 
-// age is how long ago j was submitted.
-func (s *State) age(j *job) time.Duration {
+// jobAge is how long ago j was submitted.
+func (s *State) jobAge(j *job) time.Duration {
 	if j.at == 0 || s.wallMs < j.at {
 		return 0
 	}
 	return time.Duration(s.wallMs-j.at) * time.Millisecond
 }
 
-// pressing says whether j can't wait any longer for room on the machines
+// isUrgent says whether j can't wait any longer for room on the machines
 // there are, or for cheap ones: part of the time that its class leaves beyond
 // boot, fetch and run has passed.
-func (s *State) pressing(j *job) bool {
+func (s *State) isUrgent(j *job) bool {
 	if j.Kind != model.Batch {
 		return true
 	}
@@ -107,15 +107,15 @@
 	}
 	// Estimates and boot times are often exceeded by half.
 	ready := 1.5*boot + j.ImageGB/max(rate, 0.001)
-	spare := s.within(j) - time.Duration((ready+1.25*j.Estimate)*float64(time.Second))
+	spare := s.completionTarget(j) - time.Duration((ready+1.25*j.Estimate)*float64(time.Second))
 	if start := s.cfg.Goals[j.Class].StartWithin; start > 0 {
 		spare = min(spare, start-time.Duration(ready*float64(time.Second)))
 	}
-	return s.age(j) >= time.Duration(s.cfg.Patience*float64(spare))
+	return s.jobAge(j) >= time.Duration(s.cfg.Patience*float64(spare))
 }
 
-// within is the time in which j should be done.
-func (s *State) within(j *job) time.Duration {
+// completionTarget is the time in which j should be done.
+func (s *State) completionTarget(j *job) time.Duration {
 	g := s.cfg.Goals[j.Class]
 	switch {
 	case g.FinishWithin > 0:
@@ -128,9 +128,9 @@
 	return s.cfg.CancelWithin
 }
 
-func (s *State) want(j *job, n int) fleet.Want {
-	w := fleet.Want{Job: &j.Job, Count: n, Need: j.need()}
-	w.OneZone, w.Together = j.OneZone, j.Kind == model.Gang
+func (s *State) demandFor(j *job, n int) fleet.Demand {
+	w := fleet.Demand{Job: &j.Job, Count: n, Need: j.need()}
+	w.OneZone, w.AllOrNothing = j.OneZone, j.Kind == model.Gang
 	if w.OneZone && len(j.tasks) > 0 {
 		bound := j.Job
 		for zone, n := range j.zones {
@@ -141,14 +141,14 @@
 		w.Job = &bound
 	}
 	if j.Spread {
-		w.PerZone = func(zone string) int {
+		w.ZoneAllowance = func(zone string) int {
 			return j.ZoneCap() - j.zones[zone]
 		}
 	}
 	return w
 }
 
-func (s *State) queueForFleet() []*job {
+func (s *State) waitingJobs() []*job {
 	var queue []*job
 	for _, j := range s.active {
 		if j.waiting() > 0 {
@@ -170,18 +170,18 @@
 	for i := range s.typeList {
 		t := s.types[s.typeList[i].Name]
 		for _, zone := range t.ZonesAvail {
-			if s.zones[zone].silent {
+			if s.zones[zone].unreachable {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
-				if r := s.refused[offerKey{t.Name, zone, spot}]; r != nil && s.now < r.until {
+				if r := s.refusedOffers[offerKey{t.Name, zone, spot}]; r != nil && s.now < r.retryAt {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, fleet.Offer{Type: t, Zone: zone, Spot: spot, Price: price, Have: have[zone]})
+				out = append(out, fleet.Offer{Type: t, Zone: zone, Spot: spot, Price: price, MachinesInZone: have[zone]})
 			}
 		}
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -38,14 +38,14 @@
 	if s.now < j.retryAt {
 		return false
 	}
-	if s.settled || j.arrival > s.electedRevision {
+	if s.takeoverComplete || j.arrival > s.electedRevision {
 		return true
 	}
 	// A task of an older job that no machine has shown may still be
 	// somewhere, until every machine of the roster that may have been given
 	// it is accounted for.
 	for _, m := range s.unaccountedFor {
-		if s.unaccounted(m) && j.AllowsType(m.typeName) && (j.Zone == "" || j.Zone == m.zone) && (j.Spot || !m.spot) {
+		if s.isUnaccounted(m) && j.AllowsType(m.typeName) && (j.Zone == "" || j.Zone == m.zone) && (j.Spot || !m.spot) {
 			return false
 		}
 	}
@@ -68,11 +68,11 @@
 	s.nextRound = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
 	s.answerReports()
 	for _, m := range env.touched {
-		if s.directs >= s.cfg.MaxDirectCommands {
+		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
 			break // the rest with the next reports and ticks: sockets are few
 		}
-		if !m.direct && s.now >= m.directAt && m.adopted && m.endpoint != "" {
-			s.flush(m)
+		if !m.commandInFlight && s.now >= m.nextCommandAt && m.reconciled && m.endpoint != "" {
+			s.sendUnsentOrders(m)
 		}
 	}
 }
@@ -134,10 +134,10 @@
 // queueView lists the jobs with waiting tasks, most urgent first and then by
 // arrival.
 func (s *State) queueView() []*job {
-	if !s.settled {
+	if !s.takeoverComplete {
 		s.unaccountedFor = s.unaccountedFor[:0]
 		for _, m := range s.machinesByName {
-			if s.unaccounted(m) {
+			if s.isUnaccounted(m) {
 				s.unaccountedFor = append(s.unaccountedFor, m)
 			}
 		}
@@ -166,7 +166,7 @@
 		j.entry.Steady = s.steady(j)
 		// By then machines that were rented for it would be there. Kept free from
 		// the start, they cost other gangs their starts in time.
-		j.entry.Overdue = j.Kind == model.Gang && s.age(j) > 2*s.soonestBoot()
+		j.entry.Overdue = j.Kind == model.Gang && s.jobAge(j) > 2*s.shortestBoot()
 		j.entry.Rank = queueRank(j)
 		if s.unbegun(j) {
 			j.entry.Rank, j.entry.Waiting = -1, 1
@@ -190,7 +190,7 @@
 		return false
 	}
 	// Estimates are often too low.
-	return s.age(j)+time.Duration(2.5*j.Estimate*float64(time.Second)) > s.within(j)
+	return s.jobAge(j)+time.Duration(2.5*j.Estimate*float64(time.Second)) > s.completionTarget(j)
 }
 
 // beginWithin is in what time every job must have begun (PROTOCOL, as the
@@ -201,7 +201,7 @@
 // tasks having begun. One task then goes before everything else: with more
 // urgent work than machines, a class would otherwise never be served at all.
 func (s *State) unbegun(j *job) bool {
-	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.Gang && s.age(j) > beginWithin/3
+	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.Gang && s.jobAge(j) > beginWithin/3
 }
 
 // queueRank is a job's place ahead of the order of arrival: only prod work
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -123,7 +123,7 @@
 // firstTask says whether t is all that runs of a job that has waited so long
 // that one of its tasks went before everything else.
 func (s *State) firstTask(t *task) bool {
-	return len(t.job.tasks) == 1 && t.job.doneCount == 0 && s.age(t.job) > beginWithin/3
+	return len(t.job.tasks) == 1 && t.job.doneCount == 0 && s.jobAge(t.job) > beginWithin/3
 }
 
 // mayStopAll asks again once earlier choices have changed what a team is beyond
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -155,7 +155,7 @@
 	for _, class := range sortedKeys(s.gangsSeen) {
 		g := s.gangsSeen[class]
 		start := s.cfg.Goals[class].StartWithin
-		if s.now-g.at > s.spareTime() || s.tooLarge(g.job) || start == 0 || start > s.soonestBoot()*3/2 {
+		if s.now-g.at > s.spareTime() || s.tooLarge(g.job) || start == 0 || start > s.shortestBoot()*3/2 {
 			continue
 		}
 		if best == nil || float64(g.job.Tasks)*g.job.CPUs > float64(best.Tasks)*best.CPUs {
@@ -175,7 +175,7 @@
 
 // spareTime is for how long room is kept free after the last gang: machines that
 // then have nothing to do go back.
-func (s *State) spareTime() time.Duration { return 2 * s.soonestBoot() }
+func (s *State) spareTime() time.Duration { return 2 * s.shortestBoot() }
 
 // gangRoomOn is for how many tasks of the spare gang m has room.
 func (s *State) gangRoomOn(m *machine, g *job) int {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -131,10 +131,10 @@
 		delete(s.active, id)
 		s.log(slog.LevelInfo, "job over", "job", id, "phase", v.Phase)
 		if v.Phase == model.PhaseAborted && it.ModRevision > s.termModRevision {
-			s.unshared[id] = it.ModRevision
+			s.unacknowledged[id] = it.ModRevision
 		}
 		if v.Phase == model.PhaseAborted {
-			s.cancellationLearnt(j, it.ModRevision)
+			s.logCancellationLearnt(j, it.ModRevision)
 		}
 		if s.leadership != nil && s.electedAt != 0 {
 			s.jobOver(j)
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -92,14 +92,14 @@
 	if s.leaseID != 0 {
 		s.callStore(StoreCall{Op: StoreRevoke, Lease: s.leaseID}, func(StoreResult) {})
 	}
-	s.leadership, s.leaseID, s.caughtUp, s.settled, s.electedAt, s.renewalInFlight = nil, 0, false, false, 0, false
+	s.leadership, s.leaseID, s.caughtUp, s.takeoverComplete, s.electedAt, s.renewalInFlight = nil, 0, false, false, 0, false
 	s.campaignAt = s.now + s.campaignDelay()
 	s.answerReports()
 	for _, m := range s.machinesByName {
-		s.proven(m, false)
-		m.forgetTerm()
+		s.finishVerification(m, false)
+		m.resetForTerm()
 	}
-	s.machinesWithOrphans, s.teams, s.directs = nil, nil, 0
+	s.machinesWithOrphans, s.teams, s.commandsInFlight = nil, nil, 0
 	s.setWriteRate(false)
 	for _, j := range s.active {
 		j.forgetTerm()
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -13,72 +13,72 @@
 // takeoverState is how far a new leader has come in accounting for the machines
 // of the roster.
 type takeoverState struct {
-	settled        bool       // every task of older jobs is accounted for
-	scanNext       int        // of order: the machines before are accounted for
-	scanned        int        // machines looked at in search of others
-	unaccountedFor []*machine // as of this round
+	takeoverComplete bool       // every task of older jobs is accounted for
+	scanNext         int        // of order: the machines before are accounted for
+	scanCount        int        // machines looked at in search of others
+	unaccountedFor   []*machine // as of this round
 }
 
-// leaseEnd is when m's lease has surely run out, if nobody answers it again.
-func (s *State) leaseEnd(m *machine) time.Duration {
+// leaseEndsAt is when m's lease has surely run out, if nobody answers it again.
+func (s *State) leaseEndsAt(m *machine) time.Duration {
 	l := s.cfg.Lease
 	return m.lastReplyAt + l + time.Duration(float64(l)*4*ClockDrift) + l/32
 }
 
-// lapses unbinds what was on machines whose lease has surely run out.
-func (s *State) lapses() {
+// expireLeases unbinds what was on machines whose lease has surely run out.
+func (s *State) expireLeases() {
 	for _, m := range s.machinesByName {
-		if m.lapsed || !m.rostered || s.now < s.leaseEnd(m) {
+		if m.leaseExpired || !m.registered || s.now < s.leaseEndsAt(m) {
 			continue
 		}
-		m.lapsed, m.adopted, m.cleared = true, false, true
+		m.leaseExpired, m.reconciled, m.noOldTasks = true, false, true
 		s.log(slog.LevelInfo, "machine lost", "host", m.host, "term", s.leadership.Term, "tasks", len(m.tasks))
 		for _, name := range sortedKeys(m.tasks) {
 			s.unbind(m.tasks[name], "lease ran out")
 		}
-		clear(m.orphans)
+		clear(m.orphanedTasks)
 		s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(o *machine) bool { return o == m })
 		m.view.Local = nil
 		s.dirty = true
 	}
-	s.checkSettled()
+	s.checkTakeoverComplete()
 }
 
-// unaccounted says whether m may run tasks that this leader hasn't seen.
-func (s *State) unaccounted(m *machine) bool { return m.rostered && !m.adopted && !m.cleared }
+// isUnaccounted says whether m may run tasks that this leader hasn't seen.
+func (s *State) isUnaccounted(m *machine) bool { return m.registered && !m.reconciled && !m.noOldTasks }
 
 // MachinesScanned is how many machines were looked at until this term was settled.
-func (s *State) MachinesScanned() int { return s.scanned }
+func (s *State) MachinesScanned() int { return s.scanCount }
 
-// checkSettled notes when every task of older jobs is accounted for: each
+// checkTakeoverComplete notes when every task of older jobs is accounted for: each
 // machine of the roster has shown all it has under this term, or is gone.
-func (s *State) checkSettled() {
-	if s.settled || !s.IsLeader() {
+func (s *State) checkTakeoverComplete() {
+	if s.takeoverComplete || !s.IsLeader() {
 		return
 	}
 	// It is called for each report: looking at all machines each time would
 	// make a takeover's work grow with the square of the fleet.
 	for ; s.scanNext < len(s.machinesByName); s.scanNext++ {
-		s.scanned++
-		if s.unaccounted(s.machinesByName[s.scanNext]) {
+		s.scanCount++
+		if s.isUnaccounted(s.machinesByName[s.scanNext]) {
 			return
 		}
 	}
-	s.scanned += len(s.machinesByName)
-	if slices.ContainsFunc(s.machinesByName, s.unaccounted) {
+	s.scanCount += len(s.machinesByName)
+	if slices.ContainsFunc(s.machinesByName, s.isUnaccounted) {
 		s.scanNext = 0 // the order has changed meanwhile, or one has begun anew
 		return
 	}
-	s.settled, s.dirty = true, true
+	s.takeoverComplete, s.dirty = true, true
 	s.log(slog.LevelInfo, "all machines accounted for", "term", s.leadership.Term)
 }
 
-// overdue gives up machines on which tasks of a withdrawn job are still to be
+// hasOverdueCancelledTasks gives up machines on which tasks of a withdrawn job are still to be
 // seen when most of the time allowed for that has passed: whatever holds the
 // stop up, returning the machine ends them. A new leader tries to stop them
 // first, but doesn't start counting again: with a leader that changed late they
 // were given up long after cancel_s.
-func (s *State) overdue(m *machine) bool {
+func (s *State) hasOverdueCancelledTasks(m *machine) bool {
 	limit := s.cfg.CancelWithin * 3 / 5
 	tried := min(limit, 2*s.cfg.ReportInterval)
 	late := func(j *job) bool {
@@ -89,7 +89,7 @@
 			return true
 		}
 	}
-	for name := range m.orphans {
+	for name := range m.orphanedTasks {
 		id, _, _ := model.SplitTask(name)
 		if late(s.jobs[id]) {
 			return true
@@ -98,43 +98,43 @@
 	return false
 }
 
-// taken says whether the cloud has taken m back, as it had told. Returned by
+// wasReclaimed says whether the cloud has taken m back, as it had told. Returned by
 // name it is surely gone: its tasks needn't wait for its lease, nor a
 // successor's older jobs for its word.
-func (s *State) taken(m *machine) bool {
-	return m.recallAt != 0 && s.now >= m.recallAt+time.Second && m.heard < m.recallAt
+func (s *State) wasReclaimed(m *machine) bool {
+	return m.reclaimAt != 0 && s.now >= m.reclaimAt+time.Second && m.lastHeardAt < m.reclaimAt
 }
 
-// findsNext is how long a worker takes at most to turn from a controller that
+// workerFailoverTimeout is how long a worker takes at most to turn from a controller that
 // is gone to the next: 4 s without an answer, then 1 s (PROTOCOL).
-const findsNext = 5 * time.Second
+const workerFailoverTimeout = 5 * time.Second
 
-// overdueReport is the silence after which a machine is rather gone than on its
+// reportTimeout is the silence after which a machine is rather gone than on its
 // way from one controller to the next: soon where reports are rare, late where
 // they come more often than a worker finds the next controller. Marked or given
 // up earlier, whole parts of a fleet lost their leases after a crash.
-func (s *State) overdueReport(soon, late time.Duration) time.Duration {
-	return max(soon, min(late, findsNext))
+func (s *State) reportTimeout(soon, late time.Duration) time.Duration {
+	return max(soon, min(late, workerFailoverTimeout))
 }
 
-// missing says whether m, of which this term has heard nothing, is given up
+// isPresumedLost says whether m, of which this term has heard nothing, is given up
 // though its lease may not be over: nearly all others have shown their tasks,
 // it doesn't answer a command, and every older job waits for the last of them.
 // A lease for a handful of machines that died with the former leader would
 // hold up the whole fleet. Zones that are cut off don't count among the others:
 // with one of three gone, nine machines held up all older jobs of the other two.
-func (s *State) missing(m *machine) bool {
-	return s.unaccounted(m) && m.session == 0 && m.askedInVain &&
-		s.now-s.electedAt > s.overdueReport(s.cfg.ReportInterval*5/4, s.silence()/2+s.cfg.ReportInterval) && s.unaccountedNow*32 <= s.inReach
+func (s *State) isPresumedLost(m *machine) bool {
+	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
+		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.silence()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
-// unresponsive says whether m is given up before its lease is over: it carries
+// isUnresponsive says whether m is given up before its lease is over: it carries
 // services, or tasks of gangs whose others wait for its end, neither reports nor answers, and nearly all others do, so that it
 // is the machine and not this node that is out of reach. Waiting for the lease
 // would keep the services down for longer than returning it.
-func (s *State) unresponsive(m *machine) bool {
+func (s *State) isUnresponsive(m *machine) bool {
 	quiet := s.cfg.Lease / 2
-	if !m.adopted || s.now-m.heard < quiet || s.now-s.electedAt < s.cfg.Lease {
+	if !m.reconciled || s.now-m.lastHeardAt < quiet || s.now-s.electedAt < s.cfg.Lease {
 		return false
 	}
 	services := false
@@ -144,17 +144,17 @@
 	if !services {
 		return false
 	}
-	return s.othersReport()
+	return s.mostMachinesReport()
 }
 
-// othersReport says whether nearly all machines report: one that doesn't is
+// mostMachinesReport says whether nearly all machines report: one that doesn't is
 // then itself at fault, and not this node or the network.
-func (s *State) othersReport() bool {
+func (s *State) mostMachinesReport() bool {
 	there, well := 0, 0
 	for _, o := range s.machinesByName {
-		if o.adopted {
+		if o.reconciled {
 			there++
-			if s.now-o.heard < 2*s.cfg.ReportInterval {
+			if s.now-o.lastHeardAt < 2*s.cfg.ReportInterval {
 				well++
 			}
 		}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -43,9 +43,9 @@
 			s.voter.Release(from, m.Term)
 		}
 	case MsgCancelled:
-		s.learn(from, m.Counts)
+		s.learnCancellations(from, m.Counts)
 	case MsgCancelledAck:
-		s.acknowledged(m)
+		s.handleAcknowledgement(m)
 	case MsgLeadershipTransfer:
 		s.handleTransfer(m)
 	case MsgChange:
@@ -78,7 +78,7 @@
 	p.reachesStore, p.heardAt = m.StoreOK, s.now
 	s.handlePeerVersion(from, m.Version)
 	if m.Rev != 0 && m.Term >= s.term {
-		s.shared(m.Rev)
+		s.acknowledgeUpTo(m.Rev)
 	}
 	cut := s.onlyRequesterLostStore(m)
 	if cut {
@@ -93,7 +93,7 @@
 		StoreOK: s.isStoreReachable(), Top: max(s.term, s.voter.HighestTerm())}
 	if granted {
 		p.promisedIncarnation = m.Ask
-		s.leaseRead(m, &reply)
+		s.grantReadLease(m, &reply)
 	}
 	s.emit(PeerOut{from, reply})
 }
@@ -127,7 +127,7 @@
 	switch {
 	case m.Granted:
 		s.leadership.RecordPromise(s.now, from, m.Sent)
-		s.readLeased(from, m)
+		s.applyReadLease(from, m)
 		if s.electedAt == 0 {
 			s.advanceCampaign()
 		}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -108,7 +108,7 @@
 // anew.
 func (s *State) fetchTooLong(j *job) bool {
 	goal := s.cfg.Goals[j.Class].StartWithin
-	left := goal - s.age(j)
+	left := goal - s.jobAge(j)
 	if j.lostAt != 0 {
 		left = max(left, j.lostAt+goal-s.now)
 	}
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -61,13 +61,13 @@
 	listed := sortedKeys(hosts)
 	for _, host := range listed {
 		v := hosts[host]
-		m := s.machine(host)
-		m.pageStored, m.rostered, m.standing = n, true, v.Preexisting
-		m.silentStored, m.silentRead = v.UnresponsiveSinceMs, v.UnresponsiveSinceMs
+		m := s.ensureMachine(host)
+		m.storedPage, m.registered, m.preexisting = n, true, v.Preexisting
+		m.storedUnresponsiveSince, m.readUnresponsiveSince = v.UnresponsiveSinceMs, v.UnresponsiveSinceMs
 		if !s.caughtUp || m.page == 0 {
 			m.page = n // a leader's own wish stands: it may be moving the machine
 		}
-		s.describe(m, v.Endpoint, v.Type, v.Zone, v.Spot)
+		s.describeMachine(m, v.Endpoint, v.Type, v.Zone, v.Spot)
 	}
 	s.removeUnlisted(n, hosts)
 	s.pageHosts[n] = listed
@@ -79,8 +79,8 @@
 func (s *State) removeUnlisted(n int, hosts map[string]machineRecord) {
 	for _, host := range s.pageHosts[n] {
 		m := s.machines[host]
-		if _, on := hosts[host]; m != nil && m.pageStored == n && m.rostered && !on {
-			m.page, m.pageStored = 0, 0
+		if _, on := hosts[host]; m != nil && m.storedPage == n && m.registered && !on {
+			m.page, m.storedPage = 0, 0
 			s.markUnregistered(m)
 		}
 	}
@@ -90,8 +90,8 @@
 // it. It stays until the machine goes.
 func (s *State) applyMachineKey(host string, it Item) {
 	if it.Removed {
-		if m := s.machines[host]; m != nil && m.ownKey {
-			m.ownKey = false
+		if m := s.machines[host]; m != nil && m.hasOwnKey {
+			m.hasOwnKey = false
 			if m.page == 0 {
 				s.markUnregistered(m)
 			}
@@ -102,15 +102,15 @@
 	if json.Unmarshal(it.Value, &v) != nil {
 		return
 	}
-	m := s.machine(host)
-	m.ownKey, m.rostered, m.standing = true, true, v.Preexisting
-	s.describe(m, v.Endpoint, v.Type, v.Zone, v.Spot)
+	m := s.ensureMachine(host)
+	m.hasOwnKey, m.registered, m.preexisting = true, true, v.Preexisting
+	s.describeMachine(m, v.Endpoint, v.Type, v.Zone, v.Spot)
 }
 
 func (s *State) markUnregistered(m *machine) {
-	m.rostered, m.silentStored, m.silentRead = false, 0, 0
+	m.registered, m.storedUnresponsiveSince, m.readUnresponsiveSince = false, 0, 0
 	if !s.IsLeader() {
-		s.drop(m.host)
+		s.removeMachine(m.host)
 	}
 }
 
@@ -119,7 +119,7 @@
 	if p := s.pages[m.page]; p != nil {
 		p.dirty = true
 	}
-	if m.ownKey {
+	if m.hasOwnKey {
 		s.queueWrite(&write{
 			change: Change{Key: prefixMachines + m.host, Remove: true}, class: classRegistry,
 			leaderTerm: s.leadership.Term, deadline: s.now + time.Hour, done: func(outcome) {},
@@ -144,7 +144,7 @@
 		}
 	}
 	for _, m := range s.machinesByName {
-		if m.rostered || m.page > 0 || !m.adopted || m.typ == nil {
+		if m.registered || m.page > 0 || !m.reconciled || m.machineType == nil {
 			continue
 		}
 		m.page = s.pageWithCapacity(m.recordBytes())
@@ -218,9 +218,9 @@
 		if m.page != n {
 			continue
 		}
-		hosts[m.host] = machineRecord{m.endpoint, m.typeName, m.zone, m.spot, m.standing, m.silentSince}
-		if m.silentSince != 0 {
-			m.silentStored = m.silentSince // from now on it may be there
+		hosts[m.host] = machineRecord{m.endpoint, m.typeName, m.zone, m.spot, m.preexisting, m.unresponsiveSince}
+		if m.unresponsiveSince != 0 {
+			m.storedUnresponsiveSince = m.unresponsiveSince // from now on it may be there
 		}
 	}
 	p.dirty, p.writing = false, true
@@ -253,12 +253,12 @@
 		return // how far clocks are apart isn't known
 	}
 	s.nextUnresponsiveCheckAt = s.now + max(s.cfg.ReportInterval/6, min(s.cfg.ReportInterval/2, time.Second))
-	after := s.overdueReport(s.cfg.ReportInterval*3/2, s.cfg.ReportInterval*2)
+	after := s.reportTimeout(s.cfg.ReportInterval*3/2, s.cfg.ReportInterval*2)
 	for _, m := range s.machinesByName {
-		if m.page == 0 || !m.rostered || m.returning || m.silentSince != 0 || s.now-m.lastReplyAt < after {
+		if m.page == 0 || !m.registered || m.returning || m.unresponsiveSince != 0 || s.now-m.lastReplyAt < after {
 			continue
 		}
-		m.silentSince = max(1, s.wallTimeAt(m.lastReplyAt))
+		m.unresponsiveSince = max(1, s.wallTimeAt(m.lastReplyAt))
 		s.page(m.page).dirty = true
 	}
 }
@@ -266,11 +266,11 @@
 // clearUnresponsiveMark says whether m may be answered; if its mark may be in the state
 // service, that is taken away first.
 func (s *State) clearUnresponsiveMark(m *machine) bool {
-	if m.silentSince != 0 {
-		m.silentSince = 0
+	if m.unresponsiveSince != 0 {
+		m.unresponsiveSince = 0
 		s.page(m.page).dirty = true
 	}
-	return m.silentStored == 0
+	return m.storedUnresponsiveSince == 0
 }
 
 // wallTimeAt is the time of day at t, in ms, rounded up.
@@ -285,8 +285,8 @@
 	if at, ok := s.transferredReplyAt(m); ok {
 		last = min(last, at)
 	}
-	if m.silentStored != 0 && s.cfg.MaxClockSkew > 0 {
-		ago := time.Duration(s.wallMs-m.silentStored)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
+	if m.storedUnresponsiveSince != 0 && s.cfg.MaxClockSkew > 0 {
+		ago := time.Duration(s.wallMs-m.storedUnresponsiveSince)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
 		last = min(last, s.now-ago)
 	}
 	return last
--- a/internal/core/silence_test.go
+++ b/internal/core/registry_test.go
@@ -7,11 +7,11 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestUnwrittenSilence: a leader notes that a machine is silent, and its term ends
+// TestUnwrittenUnresponsiveMark: a leader notes that a machine is silent, and its term ends
 // before that is written; whoever leads next answers the machine. Leading again, it
 // counts the machine's lease from its own election and not from its old note: it once
 // took such machines for lost, and what they had ran twice.
-func TestUnwrittenSilence(t *testing.T) {
+func TestUnwrittenUnresponsiveMark(t *testing.T) {
 	s := alone()
 	s.cfg.MaxClockSkew = time.Second
 	s.loaded, s.hasContact, s.caughtUp = true, true, true
@@ -20,9 +20,9 @@
 	s.apply(Item{Key: prefixPages + "1", Value: mustMarshal(map[string]machineRecord{"n-1": {Endpoint: "e", Type: "small", Zone: "a"}}), ModRevision: 5})
 	m := s.machines["n-1"]
 	s.wallMs, s.wallReadAt, s.now = 1_000_000, 20*time.Second, 20*time.Second
-	m.adopted, m.lastReplyAt = true, 15*time.Second
+	m.reconciled, m.lastReplyAt = true, 15*time.Second
 	s.maintainRegistry()
-	if m.silentSince == 0 || m.silentStored == 0 {
+	if m.unresponsiveSince == 0 || m.storedUnresponsiveSince == 0 {
 		t.Fatal("a machine not answered for 5 s isn't noted as silent")
 	}
 	s.stepDown("the state service is out of reach")
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestPageReadLooksAtItsPageOnly: a page of the roster that is read anew strikes those
+// TestRegistryPageReadScansItsPageOnly: a page of the roster that is read anew strikes those
 // off that were on it before, without a look at the rest of the fleet.
-func TestPageReadLooksAtItsPageOnly(t *testing.T) {
+func TestRegistryPageReadScansItsPageOnly(t *testing.T) {
 	s := alone()
 	listed := func(hosts ...string) []byte {
 		page := map[string]machineRecord{}
@@ -58,13 +58,13 @@
 	s.apply(Item{Key: prefixPages + "1", Value: listed("n-1", "n-2"), ModRevision: 5})
 	s.apply(Item{Key: prefixPages + "2", Value: listed("n-3"), ModRevision: 6})
 	// Nothing but a look at all machines would find this one.
-	elsewhere := s.machine("n-4")
-	elsewhere.rostered, elsewhere.pageStored = true, 1
+	elsewhere := s.ensureMachine("n-4")
+	elsewhere.registered, elsewhere.storedPage = true, 1
 	s.apply(Item{Key: prefixPages + "1", Value: listed("n-2"), ModRevision: 7})
 	if s.machines["n-1"] != nil || s.machines["n-2"] == nil || s.machines["n-3"] == nil {
 		t.Errorf("machines known after n-1 was struck off its page: %v", sortedKeys(s.machines))
 	}
-	if !elsewhere.rostered {
+	if !elsewhere.registered {
 		t.Error("the whole fleet was looked at for one page")
 	}
 	s.apply(Item{Key: prefixPages + "1", ModRevision: 8, Removed: true})
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -46,7 +46,7 @@
 	if s.now-s.lastReportAt < quiet || s.now-s.electedAt < 2*quiet {
 		return false
 	}
-	if !slices.ContainsFunc(s.machinesByName, func(m *machine) bool { return m.adopted }) {
+	if !slices.ContainsFunc(s.machinesByName, func(m *machine) bool { return m.reconciled }) {
 		return false
 	}
 	for _, p := range s.peers {
--- a/internal/core/rent.go
+++ b/internal/core/rentals.go
@@ -11,13 +11,13 @@
 
 // Renting: what waits against what is there and on its way.
 
-// rentMore rents for the tasks that found no room, and for the room to keep
+// rentMissing rents for the tasks that found no room, and for the room to keep
 // free for services and gangs.
-func (s *State) rentMore() {
-	if s.renting > 0 {
+func (s *State) rentMissing() {
+	if s.rentalsInFlight > 0 {
 		return // what is asked for already must not be asked for twice
 	}
-	wants := s.wants()
+	wants := s.demands()
 	if len(wants) == 0 {
 		return
 	}
@@ -25,12 +25,12 @@
 	for _, m := range s.machinesByName {
 		have[m.zone]++
 	}
-	rentals, unmet := fleet.Plan(wants, s.coming(), s.offers(have), s.rentalLimit())
+	rentals, unmet := fleet.Plan(wants, s.expectedCapacity(), s.offers(have), s.rentalLimit())
 	for _, id := range unmet {
 		s.postponeRentals(id)
 	}
 	for _, r := range rentals {
-		s.rent(r)
+		s.requestRental(r)
 	}
 }
 
@@ -40,8 +40,8 @@
 		return math.MaxInt
 	}
 	limit := s.cfg.MaxMachines - len(s.machines)
-	if limit <= 0 && !s.limitTold {
-		s.limitTold = true
+	if limit <= 0 && !s.limitLogged {
+		s.limitLogged = true
 		s.log(slog.LevelWarn, "as many machines as the operators allow: nothing more is rented", "max_machines", s.cfg.MaxMachines, "term", s.leadership.Term)
 	}
 	return limit
@@ -64,58 +64,58 @@
 	j.gang.rentPauses++
 }
 
-// rent asks the cloud for machines. The name is built from the term, so that
+// requestRental asks the cloud for machines. The name is built from the term, so that
 // no two requests ever share one; a repeat after silence uses the same.
-func (s *State) rent(r fleet.Rental) {
-	if s.renting >= 4 {
+func (s *State) requestRental(r fleet.Rental) {
+	if s.rentalsInFlight >= 4 {
 		return
 	}
-	s.rentals++
-	name := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.rentals)
-	s.rentAs(name, r, 0)
+	s.lastRentalNumber++
+	name := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.lastRentalNumber)
+	s.sendRental(name, r, 0)
 }
 
-func (s *State) rentAs(name string, r fleet.Rental, try int) {
+func (s *State) sendRental(name string, r fleet.Rental, try int) {
 	leadership := s.leadership
 	key := offerKey{r.Type, r.Zone, r.Spot}
-	ok := s.cloud(CloudCall{Op: CloudRent, Request: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50)}, func(d CloudResult) {
+	ok := s.callCloud(CloudCall{Op: CloudRent, Request: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50)}, func(d CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
-		s.renting--
+		s.rentalsInFlight--
 		switch d.Status {
 		case 200:
-			s.rentedFor(r.Gangs)
+			s.markGangsRented(r.Gangs)
 			s.log(slog.LevelInfo, "rented", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(d.Hosts), "term", leadership.Term)
 			for _, h := range d.Hosts {
-				m := s.machine(h)
-				if !m.up {
+				m := s.ensureMachine(h)
+				if !m.hasReported {
 					m.rentedAt = s.now
 				}
-				m.standing = false // up before the answer that names it
-				s.describe(m, "", r.Type, r.Zone, r.Spot)
+				m.preexisting = false // up before the answer that names it
+				s.describeMachine(m, "", r.Type, r.Zone, r.Spot)
 			}
 			if len(d.Hosts) < min(r.Count, 50) {
-				s.refuse(key)
+				s.recordRefusal(key)
 			} else {
-				delete(s.refused, key)
+				delete(s.refusedOffers, key)
 			}
 		case 0:
-			s.unsure = true
+			s.rentalUnconfirmed = true
 			if try < 3 {
-				s.rentAs(name, r, try+1)
+				s.sendRental(name, r, try+1)
 			}
 		default:
-			s.refuse(key)
+			s.recordRefusal(key)
 		}
 	})
 	if ok {
-		s.renting++
+		s.rentalsInFlight++
 	}
 }
 
-// rentedFor notes that machines were rented for gangs.
-func (s *State) rentedFor(gangs []string) {
+// markGangsRented notes that machines were rented for gangs.
+func (s *State) markGangsRented(gangs []string) {
 	for _, id := range gangs {
 		if j := s.active[id]; j != nil {
 			j.gang.rented = true
@@ -123,22 +123,22 @@
 	}
 }
 
-func (s *State) refuse(key offerKey) {
-	r := s.refused[key]
+func (s *State) recordRefusal(key offerKey) {
+	r := s.refusedOffers[key]
 	if r == nil {
 		r = &refusal{}
-		s.refused[key] = r
+		s.refusedOffers[key] = r
 	}
 	r.count++
-	r.until = s.now + s.cfg.Lease/2<<min(r.count-1, 1)
+	r.retryAt = s.now + s.cfg.Lease/2<<min(r.count-1, 1)
 }
 
 type offerKey struct {
-	typ, zone string
-	spot      bool
+	typeName, zone string
+	spot           bool
 }
 
 type refusal struct {
-	until time.Duration
-	count int
+	retryAt time.Duration
+	count   int
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -116,7 +116,7 @@
 			}
 			s.loading, s.loaded = false, true
 			s.revision = max(s.revision, rev)
-			s.hasRead(sent)
+			s.recordCompleteRead(sent)
 			s.voter.LimitPreviousReadLease(s.term)
 			s.releasePreviousIncarnation()
 			s.log(slog.LevelInfo, "state loaded", "rev", s.revision, "jobs", len(s.jobs), "machines", len(s.machines))
@@ -167,8 +167,8 @@
 			s.apply(it)
 		}
 		s.revision = max(s.revision, d.Revision)
-		s.hasRead(sent)
-		s.debug("state read", "sent", sent, "received", s.now, "rev", d.Revision, "changes", len(d.Items))
+		s.recordCompleteRead(sent)
+		s.logDebug("state read", "sent", sent, "received", s.now, "rev", d.Revision, "changes", len(d.Items))
 		return true
 	case 410:
 		// Too far behind: read everything again.
@@ -234,7 +234,7 @@
 		var v termValue
 		if json.Unmarshal(it.Value, &v) == nil {
 			s.term, s.termModRevision, s.termWinner = max(s.term, v.Term), it.ModRevision, v.Node
-			s.shared(it.ModRevision) // whoever won it has read all before
+			s.acknowledgeUpTo(it.ModRevision) // whoever won it has read all before
 		}
 		s.stepDownIfSuperseded()
 	case it.Key == keyLeader:
@@ -252,7 +252,7 @@
 		s.applyControllerVersion(strings.TrimPrefix(it.Key, prefixVersions), it)
 	case it.Key == keyTypes:
 		s.typesModRevision = it.ModRevision
-		s.typesFromStore(it.Value)
+		s.loadTypes(it.Value)
 	case strings.HasPrefix(it.Key, prefixJobs):
 		s.jobChanged(strings.TrimPrefix(it.Key, prefixJobs), it)
 	case strings.HasPrefix(it.Key, prefixProgress):
--- a/internal/core/orders.go
+++ b/internal/core/report_replies.go
@@ -19,20 +19,20 @@
 // pendingReport is a report whose answer waits for the next round of decisions, or
 // until its machine's mark is off the roster.
 type pendingReport struct {
-	req uint64
-	m   *machine
-	r   *model.Report
-	at  time.Duration
+	req        uint64
+	machine    *machine
+	report     *model.Report
+	receivedAt time.Duration
 }
 
 func (s *State) answerReport(h pendingReport) {
-	if !s.IsLeader() || s.machines[h.m.host] != h.m || h.m.session != h.r.Session || h.m.lapsed || !s.clearUnresponsiveMark(h.m) {
+	if !s.IsLeader() || s.machines[h.machine.host] != h.machine || h.machine.session != h.report.Session || h.machine.leaseExpired || !s.clearUnresponsiveMark(h.machine) {
 		s.emit(Reply{RequestID: h.req, Status: 503, Body: Problem{"overtaken"}})
 		return
 	}
-	m := h.m
-	m.answeredEpoch, m.answeredSeq, m.answeredAt = s.epoch(m), max(m.answeredSeq, h.r.Seq), s.now
-	s.renewLease(h, s.orders(m, h.r))
+	m := h.machine
+	m.answeredEpoch, m.answeredSeq, m.answeredAt = s.epoch(m), max(m.answeredSeq, h.report.Seq), s.now
+	s.renewLease(h, s.ordersFor(m, h.report))
 }
 
 // renewLease answers a report with 200, which renews its worker's lease. With the
@@ -42,16 +42,16 @@
 // tasks. Answers to machines that weren't adopted yet once renewed leases without it,
 // term after term, until the tasks were there beyond cancel_s.
 func (s *State) renewLease(h pendingReport, orders []model.Order) {
-	orders = s.withStops(h.m, h.r, orders)
-	s.leaseRenewed(h.m, h.r, len(orders))
-	s.stopsSent(h.m, orders, "answer")
-	s.emit(Reply{RequestID: h.req, Status: 200, Body: ReportReply{s.epoch(h.m), orders}, SendBefore: s.leadership.ValidUntil()})
+	orders = s.withStops(h.machine, h.report, orders)
+	s.logLeaseRenewed(h.machine, h.report, len(orders))
+	s.recordStopsSent(h.machine, orders, "answer")
+	s.emit(Reply{RequestID: h.req, Status: 200, Body: ReportReply{s.epoch(h.machine), orders}, SendBefore: s.leadership.ValidUntil()})
 }
 
 // withStops puts the stops that an answer to r must carry in front of orders, which
 // are cut to what fits.
 func (s *State) withStops(m *machine, r *model.Report, orders []model.Order) []model.Order {
-	stops := s.stopsOfStarts(m, s.stopsOfShown(r))
+	stops := s.addStopsForPendingStarts(m, s.stopsForReportedTasks(r))
 	if len(stops) == 0 {
 		return orders
 	}
@@ -63,20 +63,20 @@
 	return stops[:min(len(stops), maxOrders)]
 }
 
-// stopsOfShown are the stops of the tasks that r shows of jobs that are over.
-func (s *State) stopsOfShown(r *model.Report) []model.Order {
+// stopsForReportedTasks are the stops of the tasks that r shows of jobs that are over.
+func (s *State) stopsForReportedTasks(r *model.Report) []model.Order {
 	var stops []model.Order
 	for _, p := range r.Tasks {
-		if p.State != model.TaskExited && s.jobIsOver(p.Task) {
+		if p.State != model.TaskExited && s.isJobOfTaskFinal(p.Task) {
 			stops = append(stops, model.Order{Verb: model.Kill, Task: p.Task, Attempt: p.Attempt, Grace: new(float64)})
 		}
 	}
 	return stops
 }
 
-// stopsOfStarts adds the stops of tasks whose start may have come between a report and
+// addStopsForPendingStarts adds the stops of tasks whose start may have come between a report and
 // its answer. A start that comes later still finds a higher epoch.
-func (s *State) stopsOfStarts(m *machine, stops []model.Order) []model.Order {
+func (s *State) addStopsForPendingStarts(m *machine, stops []model.Order) []model.Order {
 	var starting []*task
 	for _, t := range m.tasks {
 		if t.killing && t.issued && t.job.final() && !containsStop(stops, t.killOrder()) {
@@ -100,8 +100,8 @@
 	})
 }
 
-// jobIsOver says whether a task's job is known to be cancelled or done.
-func (s *State) jobIsOver(task string) bool {
+// isJobOfTaskFinal says whether a task's job is known to be cancelled or done.
+func (s *State) isJobOfTaskFinal(task string) bool {
 	id, _, _ := model.SplitTask(task)
 	j := s.jobs[id]
 	return j != nil && j.final()
@@ -113,7 +113,7 @@
 	pendingReports := s.pendingReports
 	s.pendingReports = nil
 	for _, h := range pendingReports {
-		if s.IsLeader() && h.m.silentStored != 0 && s.now-h.at < s.cfg.ReportInterval {
+		if s.IsLeader() && h.machine.storedUnresponsiveSince != 0 && s.now-h.receivedAt < s.cfg.ReportInterval {
 			s.pendingReports = append(s.pendingReports, h)
 			continue
 		}
@@ -124,11 +124,11 @@
 // maxOrders keeps an answer's one line under 64 KiB.
 const maxOrders = 400
 
-// orders says what m is to do, in answer to its report r. All of it can be
+// ordersFor says what m is to do, in answer to its report r. All of it can be
 // repeated with every report until the reports show that it was done.
-func (s *State) orders(m *machine, r *model.Report) []model.Order {
+func (s *State) ordersFor(m *machine, r *model.Report) []model.Order {
 	orders := []model.Order{}
-	if !m.adopted || m.session != r.Session {
+	if !m.reconciled || m.session != r.Session {
 		return orders
 	}
 	listed := make(map[string]model.TaskReport, len(r.Tasks))
@@ -138,9 +138,9 @@
 			orders = append(orders, model.Order{Verb: model.Forget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	for _, name := range sortedKeys(m.orphans) {
+	for _, name := range sortedKeys(m.orphanedTasks) {
 		if len(orders) < maxOrders {
-			orders = append(orders, model.Order{Verb: model.Kill, Task: name, Attempt: m.orphans[name].Attempt, Grace: new(float64)})
+			orders = append(orders, model.Order{Verb: model.Kill, Task: name, Attempt: m.orphanedTasks[name].Attempt, Grace: new(float64)})
 		}
 	}
 	for _, name := range sortedKeys(m.tasks) {
@@ -153,7 +153,7 @@
 		switch {
 		case t.killing && shown:
 			orders = append(orders, t.killOrder())
-		case !t.killing && !shown && m.rostered:
+		case !t.killing && !shown && m.registered:
 			t.issued, t.issuedSeq = true, r.Seq
 			orders = append(orders, model.Order{Verb: model.Start, Task: name, Attempt: t.attempt})
 		}
@@ -166,7 +166,7 @@
 // until m has seen a higher epoch nothing is forgotten. Nor is a result that isn't
 // durable yet.
 func (s *State) mayForget(m *machine, p model.TaskReport) bool {
-	if p.State != model.TaskExited || m.direct || m.doubt != 0 && m.seen <= m.doubt {
+	if p.State != model.TaskExited || m.commandInFlight || m.unconfirmedEpoch != 0 && m.highestEpoch <= m.unconfirmedEpoch {
 		return false
 	}
 	if t := m.tasks[p.Task]; t != nil && t.attempt == p.Attempt && model.KnownCause(p.Cause) {
--- a/internal/core/stops_test.go
+++ b/internal/core/report_replies_test.go
@@ -29,7 +29,7 @@
 			return &model.Report{Seq: 6, Epoch: s.epochBase()}
 		}, true},
 		{"the machine is new to this leader", func(s *State, m *machine) *model.Report {
-			m.adopted = false
+			m.reconciled = false
 			return &model.Report{Seq: 6, Epoch: 1}
 		}, false},
 		{"a command's answer has overtaken the report", func(s *State, m *machine) *model.Report {
@@ -46,11 +46,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := alone()
-			s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
+			s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
 			s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
 			s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
-			m := s.machine(host)
-			m.session, m.seq, m.adopted, m.rostered, m.up = 1, 5, true, true, true
+			m := s.ensureMachine(host)
+			m.session, m.seq, m.reconciled, m.registered, m.hasReported = 1, 5, true, true, true
 			r := c.report(s, m)
 			r.Host, r.Session = host, 1
 			if !c.hidden {
@@ -58,7 +58,7 @@
 			}
 			started := s.epoch(m)
 			s.dirty, s.effects = true, nil // so that a new report is answered after a round
-			s.takeReport(WorkerReport{RequestID: 1, Report: *r})
+			s.handleReport(WorkerReport{RequestID: 1, Report: *r})
 			for _, task := range m.tasks {
 				s.kill(task, 0) // only now is the cancellation learnt
 			}
@@ -71,7 +71,7 @@
 				}
 				renewed = true
 				orders := reply.Body.(ReportReply).Orders
-				if !stops(orders, cancelled, 9) {
+				if !containsImmediateStop(orders, cancelled, 9) {
 					t.Errorf("the lease is renewed by %d orders without a stop of %s", len(orders), cancelled)
 				}
 				if epoch := reply.Body.(ReportReply).Epoch; c.hidden && epoch <= started {
@@ -111,8 +111,8 @@
 	}
 }
 
-// stops says whether orders stop an attempt of a task at once.
-func stops(orders []model.Order, task string, attempt uint64) bool {
+// containsImmediateStop says whether orders stop an attempt of a task at once.
+func containsImmediateStop(orders []model.Order, task string, attempt uint64) bool {
 	for _, o := range orders {
 		if o.Verb == model.Kill && o.Task == task && o.Attempt == attempt && o.Grace != nil && *o.Grace == 0 {
 			return true
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -8,20 +8,20 @@
 
 // Workers' reports: which are news, which late copies, and what is answered.
 
-// takeReport takes a worker's report.
-func (s *State) takeReport(e WorkerReport) {
+// handleReport takes a worker's report.
+func (s *State) handleReport(e WorkerReport) {
 	s.steppedDownUnreached = false
 	r := &e.Report
 	if s.refuseReport(e.RequestID, r) {
 		return
 	}
 	_, known := s.machines[r.Host]
-	m := s.machine(r.Host)
+	m := s.ensureMachine(r.Host)
 	if !known {
-		m.standing = s.foundFirst()
+		m.preexisting = s.newMachinesArePreexisting()
 	}
-	s.describe(m, r.Endpoint, r.Type, r.Zone, r.Spot)
-	s.sortReport(pendingReport{req: e.RequestID, m: m, r: r, at: s.now})
+	s.describeMachine(m, r.Endpoint, r.Type, r.Zone, r.Spot)
+	s.classifyReport(pendingReport{req: e.RequestID, machine: m, report: r, receivedAt: s.now})
 }
 
 // refuseReport answers a report that this node must not act on: it doesn't lead,
@@ -33,7 +33,7 @@
 		s.refuseWorker(req, "not ready to lead")
 	case !s.IsLeader():
 		s.emit(Reply{RequestID: req, Status: 421, Body: Redirect{s.currentLeader()}})
-	case s.recentlyReturned(r.Host):
+	case s.wasRecentlyReturned(r.Host):
 		// A late copy: the cloud has confirmed that the machine is gone.
 		s.refuseWorker(req, "machine was returned")
 	case r.Epoch>>fenceBits > s.leadership.Term:
@@ -51,53 +51,53 @@
 	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{why}})
 }
 
-// sortReport tells news of a machine from late copies of its reports.
-func (s *State) sortReport(h pendingReport) {
-	m, r := h.m, h.r
+// classifyReport tells news of a machine from late copies of its reports.
+func (s *State) classifyReport(h pendingReport) {
+	m, r := h.machine, h.report
 	switch {
 	case r.Epoch < m.minEpoch && (r.Session != m.session || r.Seq > m.seq):
 		// A worker's epoch only grows: this is from before it began anew, or it
 		// has just done so and nobody knows yet.
-		s.notNews(h, "report is from another life of this machine")
-	case r.Session < m.session || m.lapsed && r.Session == m.session && m.session != 0:
+		s.refuseStaleReport(h, "report is from another life of this machine")
+	case r.Session < m.session || m.leaseExpired && r.Session == m.session && m.session != 0:
 		// Of a session that is over: nothing may renew that lease.
-		s.notNews(h, "session is over")
+		s.refuseStaleReport(h, "session is over")
 	case r.Session == m.session && r.Seq <= m.seq:
-		s.overtaken(h)
+		s.answerSupersededReport(h)
 	case m.session != 0 && r.Session > m.session && m.endpoint != "":
 		// A new session ends all that was on the machine. That is not taken
 		// from a report alone: after the machine has begun anew, copies from
 		// its earlier life show higher sessions than the present one.
-		s.prove(h)
-	case m.heard != 0 && s.now-m.heard >= s.silence() && m.endpoint != "":
-		s.prove(h)
-	case m.lapsed && m.session == 0:
+		s.verifyReport(h)
+	case m.lastHeardAt != 0 && s.now-m.lastHeardAt >= s.silence() && m.endpoint != "":
+		s.verifyReport(h)
+	case m.leaseExpired && m.session == 0:
 		// Lost before it was ever heard of in this term: only its own word
 		// tells a report of now from one of before.
 		s.refuseWorker(h.req, "busy")
 	default:
-		s.accept(h)
+		s.acceptReport(h)
 	}
 }
 
-// notNews refuses a report that is older than what its machine has shown, but
+// refuseStaleReport refuses a report that is older than what its machine has shown, but
 // for what has completed, and asks the machine for its own word.
-func (s *State) notNews(h pendingReport, why string) {
-	s.lateDones(h.r)
-	s.askAgain(h.m)
+func (s *State) refuseStaleReport(h pendingReport, why string) {
+	s.recordCompletions(h.report)
+	s.probeAgain(h.machine)
 	s.refuseWorker(h.req, why)
 }
 
-// overtaken answers a report that is older than what its machine has shown
+// answerSupersededReport answers a report that is older than what its machine has shown
 // since: the answer to a direct command came first, or the report is a late
 // copy. Only the first kind has a worker waiting for the answer, which may
 // renew its lease; it was sent before the newer message came, so that counts
 // as the last contact, and not now: a copy says nothing of now.
-func (s *State) overtaken(h pendingReport) {
-	m := h.m
-	s.lateDones(h.r)
-	s.askAgain(m)
-	m.lastReplyAt = max(m.lastReplyAt, m.heard)
+func (s *State) answerSupersededReport(h pendingReport) {
+	m := h.machine
+	s.recordCompletions(h.report)
+	s.probeAgain(m)
+	m.lastReplyAt = max(m.lastReplyAt, m.lastHeardAt)
 	if !s.clearUnresponsiveMark(m) {
 		s.pendingReports = append(s.pendingReports, h)
 		return
@@ -105,26 +105,26 @@
 	s.renewLease(h, []model.Order{})
 }
 
-// askAgain asks a machine whose report looks old for its own word: a worker
+// probeAgain asks a machine whose report looks old for its own word: a worker
 // that has begun anew under the same name counts from the start again, and
 // must not be taken for its own late copy for ever.
-func (s *State) askAgain(m *machine) {
-	if m.direct || m.endpoint == "" || !s.mayProbe() || s.now < m.askedAt+s.cfg.ReportInterval {
+func (s *State) probeAgain(m *machine) {
+	if m.commandInFlight || m.endpoint == "" || !s.mayProbe() || s.now < m.lastProbeAt+s.cfg.ReportInterval {
 		return
 	}
-	m.askedAt = s.now
-	s.command(m, nil, nil)
+	m.lastProbeAt = s.now
+	s.sendCommand(m, nil, nil)
 }
 
-// begunAnew takes in that a machine counts sessions or reports from the start
+// handleRestart takes in that a machine counts sessions or reports from the start
 // again. What it had is gone unless it shows it; only direct commands of its
 // former life may still reach it, which the fence and each task's epoch of
 // doubt take care of.
-func (s *State) begunAnew(m *machine, r *model.Report) {
+func (s *State) handleRestart(m *machine, r *model.Report) {
 	s.log(slog.LevelInfo, "machine has begun anew", "host", m.host, "session", r.Session, "term", s.leadership.Term)
-	m.session, m.seq, m.seen = r.Session, 0, 0
-	m.answeredEpoch, m.answeredSeq, m.reach, m.adopted = 0, 0, reachability{}, false
-	m.lapsed, m.lastReplyAt = false, s.now // its new life has a lease of its own
+	m.session, m.seq, m.highestEpoch = r.Session, 0, 0
+	m.answeredEpoch, m.answeredSeq, m.reachability, m.reconciled = 0, 0, reachability{}, false
+	m.leaseExpired, m.lastReplyAt = false, s.now // its new life has a lease of its own
 	for _, t := range m.tasks {
 		// Answers to reports of the former life died with its connections.
 		t.issuedSeq, t.session = 0, r.Session
@@ -135,51 +135,51 @@
 	m.minEpoch = s.epoch(m)
 }
 
-// prove asks a machine that hasn't been heard of for a while, or never, before
+// verifyReport asks a machine that hasn't been heard of for a while, or never, before
 // its report is believed: it may be a late copy, and the machine dead or
 // another leader's business long since. A copy believed would hold the tasks
 // of a dead machine for a lease more.
-func (s *State) prove(h pendingReport) {
-	m := h.m
-	if m.proof != nil {
-		s.refuseWorker(m.proof.req, "overtaken")
+func (s *State) verifyReport(h pendingReport) {
+	m := h.machine
+	if m.unverifiedReport != nil {
+		s.refuseWorker(m.unverifiedReport.req, "overtaken")
 	}
-	m.proof = &h
-	if !m.direct && s.mayProbe() {
-		s.command(m, nil, nil) // else reachOut asks, as soon as others have answered
+	m.unverifiedReport = &h
+	if !m.commandInFlight && s.mayProbe() {
+		s.sendCommand(m, nil, nil) // else reachOut asks, as soon as others have answered
 	}
 }
 
-// proven goes on with a report that waited for a sign of life.
-func (s *State) proven(m *machine, alive bool) {
-	h := m.proof
+// finishVerification goes on with a report that waited for a sign of life.
+func (s *State) finishVerification(m *machine, alive bool) {
+	h := m.unverifiedReport
 	if h == nil {
 		return
 	}
-	m.proof = nil
+	m.unverifiedReport = nil
 	switch {
-	case !alive || s.machines[m.host] != m || h.r.Session != m.session || m.lapsed:
-		s.lateDones(h.r)
+	case !alive || s.machines[m.host] != m || h.report.Session != m.session || m.leaseExpired:
+		s.recordCompletions(h.report)
 		s.refuseWorker(h.req, "machine does not answer")
-	case h.r.Session == m.session && h.r.Seq <= m.seq:
-		s.overtaken(*h)
+	case h.report.Session == m.session && h.report.Seq <= m.seq:
+		s.answerSupersededReport(*h)
 	default:
-		s.accept(*h)
+		s.acceptReport(*h)
 	}
 }
 
-// accept takes a report as news of its machine.
-func (s *State) accept(h pendingReport) {
-	m, r := h.m, h.r
+// acceptReport takes a report as news of its machine.
+func (s *State) acceptReport(h pendingReport) {
+	m, r := h.machine, h.report
 	s.lastReportAt = s.now
-	s.report(m, r, true)
+	s.applyReport(m, r, true)
 	s.checkDelivery(m, r)
-	if m.reach.lost {
+	if m.reachability.unreachable {
 		s.refuseWorker(h.req, "answers don't reach this machine")
 		return
 	}
-	if !m.rostered && !m.adopted && !m.direct && s.mayProbe() && m.endpoint != "" {
-		s.command(m, nil, nil) // a new machine is of use as soon as it shows the epoch
+	if !m.registered && !m.reconciled && !m.commandInFlight && s.mayProbe() && m.endpoint != "" {
+		s.sendCommand(m, nil, nil) // a new machine is of use as soon as it shows the epoch
 	}
 	m.lastReplyAt = s.now
 	if !s.clearUnresponsiveMark(m) || s.dirty {
@@ -191,7 +191,7 @@
 	s.answerReport(h)
 }
 
-func (s *State) lateDones(r *model.Report) {
+func (s *State) recordCompletions(r *model.Report) {
 	for _, p := range r.Tasks {
 		id, i, ok := model.SplitTask(p.Task)
 		if j := s.jobs[id]; ok && j != nil && p.State == model.TaskExited && p.Cause == model.CauseDone {
--- a/internal/core/guards_test.go
+++ b/internal/core/safeguards_test.go
@@ -10,25 +10,25 @@
 	"mulleinfall/internal/sched"
 )
 
-// leading is a state that leads alone in term 4, with a job and a machine that
+// newLeader is a state that leads alone in term 4, with a job and a machine that
 // has shown the term's epoch.
-func leading(t *testing.T) (*State, *job, *machine) {
+func newLeader(t *testing.T) (*State, *job, *machine) {
 	t.Helper()
 	s := alone()
-	s.loaded, s.hasContact, s.caughtUp, s.settled = true, true, true, true
+	s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
 	s.leadership, s.teams, s.pages = newLeadership(s), map[string]sched.Resources{}, map[int]*registryPage{}
 	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Batch}}), ModRevision: 5})
-	m := s.machine("n-1")
-	m.endpoint, m.session, m.seq, m.adopted, m.rostered, m.up = "e", 1, 10, true, true, true
+	m := s.ensureMachine("n-1")
+	m.endpoint, m.session, m.seq, m.reconciled, m.registered, m.hasReported = "e", 1, 10, true, true, true
 	m.minEpoch = s.epochBase()
 	return s, s.jobs["req-000001"], m
 }
 
-// TestGuardsBehindOthers: these guards stand one behind the other, so that no
+// TestSafeguardsOneByOne: these guards stand one behind the other, so that no
 // day with one of them taken away breaks a rule. Each is asked for by itself.
-func TestGuardsBehindOthers(t *testing.T) {
+func TestSafeguardsOneByOne(t *testing.T) {
 	t.Run("nobody acts before it has caught up with its election", func(t *testing.T) {
-		s, _, _ := leading(t)
+		s, _, _ := newLeader(t)
 		s.caughtUp, s.revision, s.electedRevision = false, 7, 9
 		s.catchUp()
 		for _, read := range []struct {
@@ -52,20 +52,20 @@
 		}
 	})
 	t.Run("an answered command renews no lease", func(t *testing.T) {
-		s, _, m := leading(t)
+		s, _, m := newLeader(t)
 		m.lastReplyAt, s.now = time.Second, 5*time.Second
-		end := s.leaseEnd(m)
-		s.report(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase()}, false)
-		if got := s.leaseEnd(m); got != end {
+		end := s.leaseEndsAt(m)
+		s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase()}, false)
+		if got := s.leaseEndsAt(m); got != end {
 			t.Errorf("the lease ends at %v, then %v", end, got)
 		}
 	})
 	t.Run("nothing listed before the term's epoch is relied on", func(t *testing.T) {
-		s, j, m := leading(t)
-		m.adopted = false
-		s.report(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() - 1,
+		s, j, m := newLeader(t)
+		m.reconciled = false
+		s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() - 1,
 			Tasks: []model.TaskReport{{Task: "req-000001/0", Attempt: 3, State: model.TaskRunning}, {Task: "req-000001/1", Attempt: 3, State: model.TaskExited, Cause: model.CauseDone}}}, true)
-		if len(j.tasks) != 0 || m.adopted {
+		if len(j.tasks) != 0 || m.reconciled {
 			t.Errorf("%d tasks taken from a report that may be from before the term", len(j.tasks))
 		}
 		if !j.isDone(1) {
@@ -77,18 +77,18 @@
 			shown uint64 // above the epoch of the command without an answer
 			gone  bool
 		}{{0, false}, {1, true}} {
-			s, j, m := leading(t)
+			s, j, m := newLeader(t)
 			x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true, directEpoch: s.epochBase() | 1}
 			s.bind(x)
 			s.kill(x, 0)
-			s.report(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() | 1 + c.shown}, true)
+			s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() | 1 + c.shown}, true)
 			if gone := j.tasks[0] == nil; gone != c.gone {
 				t.Errorf("epoch %d above the command's: counted as gone: %v", c.shown, gone)
 			}
 		}
 	})
 	t.Run("a leader's writes name its term", func(t *testing.T) {
-		s, _, _ := leading(t)
+		s, _, _ := newLeader(t)
 		s.transact([]*write{{change: Change{Key: prefixPages + "1", Value: mustMarshal(1)}, leaderTerm: 4, done: func(outcome) {}}}, true)
 		c, _ := storeCall(s.effects, StoreTxn)
 		if !slices.Contains(c.Preconditions, Precondition{keyTerm, s.termModRevision}) {
@@ -96,43 +96,43 @@
 		}
 	})
 	t.Run("a result is forgotten only once it is durable", func(t *testing.T) {
-		s, j, m := leading(t)
+		s, j, m := newLeader(t)
 		r := &model.Report{Host: "n-1", Session: 1, Seq: 11, Tasks: []model.TaskReport{{Task: "req-000001/0", Attempt: 3, State: model.TaskExited, Cause: model.CauseDone}}}
 		s.finished(j, 0)
-		if o := s.orders(m, r); len(o) != 0 {
+		if o := s.ordersFor(m, r); len(o) != 0 {
 			t.Errorf("%v before it is written", o)
 		}
 		j.chunk(0).durable[0] |= 1
-		if o := s.orders(m, r); len(o) != 1 || o[0].Verb != model.Forget {
+		if o := s.ordersFor(m, r); len(o) != 1 || o[0].Verb != model.Forget {
 			t.Errorf("%v once it is written", o)
 		}
 	})
 	t.Run("an answer carries the end of the entitlement", func(t *testing.T) {
-		s, _, m := leading(t)
+		s, _, m := newLeader(t)
 		s.effects = nil
-		s.answerReport(pendingReport{req: 1, m: m, r: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
+		s.answerReport(pendingReport{req: 1, machine: m, report: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
 		if r, ok := s.effects[0].(Reply); !ok || r.Status != 200 || r.SendBefore != s.leadership.ValidUntil() {
 			t.Errorf("%+v, entitled until %v", s.effects, s.leadership.ValidUntil())
 		}
 	})
 	t.Run("a lease that has surely run out frees what ran under it", func(t *testing.T) {
-		s, j, m := leading(t)
+		s, j, m := newLeader(t)
 		x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true}
 		s.bind(x)
 		m.lastReplyAt = time.Second
 		for _, c := range []struct {
 			at    time.Duration
 			bound bool
-		}{{s.leaseEnd(m) - time.Millisecond, true}, {s.leaseEnd(m), false}} {
+		}{{s.leaseEndsAt(m) - time.Millisecond, true}, {s.leaseEndsAt(m), false}} {
 			s.now = c.at
-			s.lapses()
+			s.expireLeases()
 			if bound := j.tasks[0] != nil; bound != c.bound {
-				t.Errorf("at %v, the lease ends at %v: bound: %v", c.at, s.leaseEnd(m), bound)
+				t.Errorf("at %v, the lease ends at %v: bound: %v", c.at, s.leaseEndsAt(m), bound)
 			}
 		}
 	})
 	t.Run("an entitlement that has run out is over", func(t *testing.T) {
-		s, _, _ := leading(t)
+		s, _, _ := newLeader(t)
 		s.now = s.leadership.ValidUntil()
 		if s.IsLeader() {
 			t.Error("it leads on")
@@ -140,20 +140,20 @@
 	})
 }
 
-// TestUnknownWords: a state or reason that nobody knows, of a machine whose type
+// TestUnknownStatesAndCauses: a state or reason that nobody knows, of a machine whose type
 // nobody knows, ends no process; it neither unbinds a task
 // nor keeps it for ever: the machine is asked to forget what has exited, and the
 // task waits again once the machine no longer shows it.
-func TestUnknownWords(t *testing.T) {
-	s, j, m := leading(t)
+func TestUnknownStatesAndCauses(t *testing.T) {
+	s, j, m := newLeader(t)
 	x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true}
 	s.bind(x)
 	seq := uint64(10)
 	report := func(tasks ...model.TaskReport) []model.Order {
 		seq++
 		r := &model.Report{Host: "n-1", Session: 1, Seq: seq, Epoch: s.epochBase(), Tasks: tasks}
-		s.report(m, r, true)
-		return s.orders(m, r)
+		s.applyReport(m, r, true)
+		return s.ordersFor(m, r)
 	}
 	for _, r := range []model.TaskReport{
 		{Task: x.name, Attempt: 9, State: "pondering"},
@@ -176,11 +176,11 @@
 	}
 }
 
-// TestGangGuards: what keeps gangs whole, each guard by itself where another
+// TestGangSafeguards: what keeps gangs whole, each guard by itself where another
 // stands behind it on the simulated days.
-func TestGangGuards(t *testing.T) {
+func TestGangSafeguards(t *testing.T) {
 	gathering := func(t *testing.T) (*State, *job, *machine) {
-		s, _, m := leading(t)
+		s, _, m := newLeader(t)
 		s.cfg.GangWaitTimeout = 40 * time.Second
 		s.apply(Item{Key: prefixJobs + "req-000002", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000002", Team: "t", Tasks: 3, CPUs: 1, Kind: model.Gang}}), ModRevision: 6})
 		j := s.jobs["req-000002"]
@@ -212,18 +212,18 @@
 	t.Run("a task that shows up while its gang is being ended is stopped", func(t *testing.T) {
 		s, j, m := gathering(t)
 		s.abortGang(j, 0)
-		s.piece(m, model.TaskReport{Task: model.TaskName(j.ID, 2), Attempt: 7, State: model.TaskGathering}, &model.Report{Session: 1})
+		s.applyTaskReport(m, model.TaskReport{Task: model.TaskName(j.ID, 2), Attempt: 7, State: model.TaskGathering}, &model.Report{Session: 1})
 		if x := j.tasks[2]; x == nil || !x.killing {
 			t.Errorf("the third task is adopted and goes on: %+v", x)
 		}
 	})
 	t.Run("a gang on a machine that is drained stops as a whole, with the time to save", func(t *testing.T) {
 		s, j, m := gathering(t)
-		other := s.machine("n-2")
+		other := s.ensureMachine("n-2")
 		j.Checkpoint, j.SaveCost, j.gang.began = 20, 4, true
 		s.bind(&task{job: j, index: 2, name: model.TaskName(j.ID, 2), attempt: 7, m: other, session: 1, issued: true, state: model.TaskRunning})
-		m.slowSigns = slowSamples
-		s.findSlow()
+		m.slowRuns = slowSamples
+		s.findSlowMachines()
 		for i, x := range j.tasks {
 			if !x.killing || x.grace < j.SaveCost {
 				t.Errorf("task %d: stopped: %v, %v s to save", i, x.killing, x.grace)
@@ -231,7 +231,7 @@
 		}
 	})
 	t.Run("room that is being made for a gang is not made twice", func(t *testing.T) {
-		s, _, _ := leading(t)
+		s, _, _ := newLeader(t)
 		s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, FetchRate: 1}
 		s.typeList = []model.MachineType{*s.types["small"]}
 		low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.Batch, Tasks: 8, CPUs: 1}, rank: model.Rank(model.Low), tasks: map[int]*task{}, zones: map[string]int{}, doneBits: make([]uint64, 1)}
@@ -239,9 +239,9 @@
 		g.entry = &sched.Job{ID: g.ID, Waiting: 2, Need: g.need(), Gang: true, Ref: g}
 		env := &roundEnv{s: s, elapsed: func() time.Duration { return 0 }}
 		for i, host := range []string{"n-1", "n-2"} {
-			m := s.machine(host)
-			s.describe(m, "e", "small", "a", false)
-			m.session, m.adopted, m.rostered, m.up = 1, true, true, true
+			m := s.ensureMachine(host)
+			s.describeMachine(m, "e", "small", "a", false)
+			m.session, m.reconciled, m.registered, m.hasReported = 1, true, true, true
 			for k := range 4 {
 				s.bind(&task{job: low, index: 4*i + k, name: model.TaskName(low.ID, 4*i+k), attempt: 5, m: m, session: 1, issued: true, state: model.TaskRunning})
 			}
@@ -262,7 +262,7 @@
 		}
 		s.now += s.cfg.ReportInterval // some have ended, and their room is kept
 		for _, m := range s.machinesByName {
-			m.stale = true
+			m.viewStale = true
 			s.refreshView(m)
 		}
 		g.entry.Waiting = 2
@@ -284,7 +284,7 @@
 			age  time.Duration
 			want bool
 		}{{beginWithin / 2, false}, {beginWithin / 4, true}} {
-			s, _, m := leading(t)
+			s, _, m := newLeader(t)
 			s.wallMs = int64(time.Hour / time.Millisecond)
 			low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.Batch, Tasks: 8}, rank: model.Rank(model.Low), tasks: map[int]*task{}, zones: map[string]int{}, doneBits: make([]uint64, 1)}
 			low.at = s.wallMs - int64(c.age/time.Millisecond)
@@ -338,10 +338,10 @@
 	}
 }
 
-// TestFinalRefusalsReadFirst: a controller whose copy lags behind must not refuse
+// TestFinalRefusalsNeedLinearizableRead: a controller whose copy lags behind must not refuse
 // for good what another has accepted: a job of a former version was answered with
 // 400 where the limits had been lowered since.
-func TestFinalRefusalsReadFirst(t *testing.T) {
+func TestFinalRefusalsNeedLinearizableRead(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		job    model.Job
--- a/internal/core/slow.go
+++ b/internal/core/slow_machines.go
@@ -17,23 +17,23 @@
 	slowSamples = 3   // on this many tasks
 )
 
-// expect is how long a task of j should run: what its finished tasks took, or
+// expectedRunTime is how long a task of j should run: what its finished tasks took, or
 // the owner's estimate while too few have finished.
-func (j *job) expect() (time.Duration, bool) {
+func (j *job) expectedRunTime() (time.Duration, bool) {
 	if len(j.runs) < slowSamples {
 		return time.Duration(j.Estimate * float64(time.Second)), false
 	}
 	return j.runs[len(j.runs)/2], true
 }
 
-// ran notes what a finished task took. Only starts that this leader saw count.
-func (s *State) ran(t *task) {
+// recordRunTime notes what a finished task took. Only starts that this leader saw count.
+func (s *State) recordRunTime(t *task) {
 	if t.adopted || t.since == 0 || t.job.Kind == model.Gang {
 		return // a gang runs at the speed of its slowest machine, whichever that is
 	}
 	took := s.now - t.since
-	if e, sure := t.job.expect(); sure && e > 0 {
-		t.m.judge(float64(took) / float64(e))
+	if e, sure := t.job.expectedRunTime(); sure && e > 0 {
+		t.m.compareRunTime(float64(took) / float64(e))
 	}
 	if len(t.job.runs) < 64 {
 		at, _ := slices.BinarySearch(t.job.runs, took)
@@ -41,34 +41,34 @@
 	}
 }
 
-// judge weighs one task's time against the time it should have taken.
-func (m *machine) judge(ratio float64) {
+// compareRunTime weighs one task's time against the time it should have taken.
+func (m *machine) compareRunTime(ratio float64) {
 	if ratio >= slowRatio {
-		m.slowSigns++
+		m.slowRuns++
 	} else if ratio < slowRatio*0.75 {
-		m.slowSigns = 0
+		m.slowRuns = 0
 	}
 }
 
 // slowState paces the search for slow machines.
 type slowState struct {
-	slowAt time.Duration
+	nextSlowScanAt time.Duration
 }
 
-// findSlow looks for slow machines among those whose tasks overrun, and moves
+// findSlowMachines looks for slow machines among those whose tasks overrun, and moves
 // away what would end sooner if it began anew elsewhere.
-func (s *State) findSlow() {
-	if s.now < s.slowAt {
+func (s *State) findSlowMachines() {
+	if s.now < s.nextSlowScanAt {
 		return
 	}
-	s.slowAt = s.now + time.Second
+	s.nextSlowScanAt = s.now + time.Second
 	for _, m := range s.machinesByName {
-		if m.slow || !m.adopted {
+		if m.slow || !m.reconciled {
 			continue
 		}
-		signs := m.slowSigns
+		signs := m.slowRuns
 		for _, t := range m.tasks {
-			e, sure := t.job.expect()
+			e, sure := t.job.expectedRunTime()
 			if sure && t.job.Kind != model.Gang && t.state == model.TaskRunning && t.since > 0 && s.now-t.since > time.Duration(slowRatio*float64(e)) {
 				signs++
 			}
@@ -80,14 +80,14 @@
 		s.dirty = true
 		s.log(slog.LevelInfo, "machine is slow", "host", m.host, "signs", signs, "term", s.leadership.Term)
 		for _, name := range sortedKeys(m.tasks) {
-			s.moveFromSlow(m.tasks[name])
+			s.moveOffSlowMachine(m.tasks[name])
 		}
 	}
 }
 
-// moveFromSlow stops t if running it anew elsewhere should be quicker than
+// moveOffSlowMachine stops t if running it anew elsewhere should be quicker than
 // the rest of its run here.
-func (s *State) moveFromSlow(t *task) {
+func (s *State) moveOffSlowMachine(t *task) {
 	if t.killing || t.job.Kind == model.Service {
 		return
 	}
@@ -95,7 +95,7 @@
 		s.kill(t, t.job.SaveCost*1.25)
 		return
 	}
-	e, _ := t.job.expect()
+	e, _ := t.job.expectedRunTime()
 	whole := time.Duration(2 * slowRatio * float64(e)) // slower than slowRatio: take twice that
 	if t.state != model.TaskRunning || whole-(s.now-t.since) > e+e/4 {
 		s.kill(t, 0)
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -36,7 +36,7 @@
 	replica
 	writer
 	users
-	cancels
+	cancellationState
 	cancellationWatch
 	leadState
 	versionState
@@ -74,7 +74,7 @@
 func New(cfg Config, now time.Duration) *State {
 	hold := promiseDuration(cfg)
 	ecf := election.Config{Self: cfg.Self, Nodes: len(cfg.Peers) + 1, KeyTTL: hold, PromiseDuration: hold, ClockDrift: ClockDrift,
-		MaxStaleness: staleness(cfg), ReadLeaseDuration: cfg.CancelWithin}
+		MaxStaleness: maxViewAge(cfg), ReadLeaseDuration: cfg.CancelWithin}
 	nodes := float64(ecf.Nodes)
 	s := &State{
 		cfg: cfg, electionConfig: ecf, now: now, startedAt: now,
@@ -99,8 +99,8 @@
 	}
 	s.round = sched.NewRound(sched.Config{SkipLimit: cfg.SkipLimit})
 	s.users.init(cfg.Incarnation)
-	s.cancels.unshared = map[string]uint64{}
-	s.watched = map[string]*cancellation{}
+	s.cancellationState.unacknowledged = map[string]uint64{}
+	s.watched = map[string]*cancellationRecord{}
 	s.pageHosts = map[int][]string{}
 	// Controllers that start together must not all run at the same instant.
 	s.campaignAt = now + time.Duration(s.random.Float64()*float64(ecf.PromiseDuration)/8)
@@ -127,7 +127,7 @@
 	case HealthCheck:
 		s.up(e.RequestID)
 	case WorkerReport:
-		s.takeReport(e)
+		s.handleReport(e)
 	case StoreResult:
 		s.completeCall(e.CallID, e)
 	case CloudResult:
@@ -150,9 +150,9 @@
 // the next possible.
 func (s *State) tick() {
 	s.maintainWatch()
-	s.pumpTypes()
+	s.refreshTypes()
 	s.expireForwards()
-	s.tellWaiting()
+	s.answerPendingConfirmations()
 	s.storeOwnVersion()
 	s.announceRestart()
 	s.campaign()
@@ -160,13 +160,13 @@
 	if !s.IsLeader() {
 		return
 	}
-	s.lapses()
+	s.expireLeases()
 	s.recalls()
-	s.findSlow()
+	s.findSlowMachines()
 	s.reconcileGangs()
 	s.maintainRegistry()
 	s.keepBitmaps()
-	s.reachOut()
+	s.sendCommands()
 	s.cloudTick()
 	s.shareCounts()
 	if s.now >= s.idleRound && s.waiting() {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -65,7 +65,7 @@
 				s.notifyPeers(key, value)
 				s.answer(o, 201, JobStatus{ID: id, Phase: model.PhaseQueued}, 0)
 			case r == conflict && j != nil:
-				s.tell(o, j) // known by now, through another node or an earlier try
+				s.replyWithStatus(o, j) // known by now, through another node or an earlier try
 			case r == conflict:
 				s.later(o, "try again")
 			case !pass():
@@ -88,7 +88,7 @@
 		case !ok:
 			s.later(o, "the state service does not answer")
 		case j != nil:
-			s.tell(o, j)
+			s.replyWithStatus(o, j)
 		default:
 			f()
 		}
--- a/internal/core/tasklist.go
+++ b/internal/core/task_reports.go
@@ -10,51 +10,51 @@
 
 // What a report shows of the tasks on its machine.
 
-// report takes in what a worker says, by its own report (own) or in answer to
+// applyReport takes in what a worker says, by its own report (own) or in answer to
 // a direct command. The caller has checked that it isn't older than the last.
-func (s *State) report(m *machine, r *model.Report, own bool) {
+func (s *State) applyReport(m *machine, r *model.Report, own bool) {
 	if r.Session > m.session {
-		s.sessionBegun(m, r)
+		s.handleNewSession(m, r)
 	}
-	m.heard = s.now
-	m.seq, m.seen = r.Seq, max(m.seen, r.Epoch)
-	m.up = true
+	m.lastHeardAt = s.now
+	m.seq, m.highestEpoch = r.Seq, max(m.highestEpoch, r.Epoch)
+	m.hasReported = true
 	m.minEpoch = max(m.minEpoch, r.Epoch)
 	s.confirmDelivery(m, r)
-	if r.Epoch >= max(s.epochBase(), m.minEpoch) && !m.adopted && !m.lapsed {
-		m.adopted = true
+	if r.Epoch >= max(s.epochBase(), m.minEpoch) && !m.reconciled && !m.leaseExpired {
+		m.reconciled = true
 		s.dirty = true
 		s.log(slog.LevelDebug, "machine adopted", "host", m.host, "term", s.leadership.Term, "tasks", len(r.Tasks))
 	}
-	s.takeRecall(m, r)
-	if !m.adopted {
+	s.handleReclaimNotice(m, r)
+	if !m.reconciled {
 		// It may be a late copy from before this term: what it lists is not
 		// relied on, but for what has completed.
-		s.lateDones(r)
+		s.recordCompletions(r)
 		return
 	}
-	if len(m.orphans) > 0 {
-		clear(m.orphans)
-		m.stale = true
+	if len(m.orphanedTasks) > 0 {
+		clear(m.orphanedTasks)
+		m.viewStale = true
 		s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(o *machine) bool { return o == m })
 	}
 	listed := make(map[string]bool, len(r.Tasks))
 	for _, p := range r.Tasks {
 		listed[p.Task] = true
-		s.piece(m, p, r)
+		s.applyTaskReport(m, p, r)
 	}
 	for _, name := range sortedKeys(m.tasks) {
 		if !listed[name] {
-			s.notListed(m.tasks[name], r, own)
+			s.handleUnlistedTask(m.tasks[name], r, own)
 		}
 	}
-	s.checkSettled()
+	s.checkTakeoverComplete()
 }
 
-// sessionBegun takes that a machine's worker has begun a new session: its lease
+// handleNewSession takes that a machine's worker has begun a new session: its lease
 // had run out, and it killed all it had.
-func (s *State) sessionBegun(m *machine, r *model.Report) {
-	if m.answeredSeq != 0 && !m.lapsed && s.now-m.lastReplyAt < s.cfg.Lease/2 {
+func (s *State) handleNewSession(m *machine, r *model.Report) {
+	if m.answeredSeq != 0 && !m.leaseExpired && s.now-m.lastReplyAt < s.cfg.Lease/2 {
 		s.markUnreachable(m, "its lease ran out though it was answered")
 	}
 	for _, name := range sortedKeys(m.tasks) {
@@ -64,27 +64,27 @@
 		}
 	}
 	// The new session has a lease of its own, which began before now.
-	m.lapsed, m.lastReplyAt = false, s.now
+	m.leaseExpired, m.lastReplyAt = false, s.now
 	m.session, m.answeredSeq = r.Session, 0
 }
 
-// takeRecall takes the cloud's notice that it will take the machine.
-func (s *State) takeRecall(m *machine, r *model.Report) {
+// handleReclaimNotice takes the cloud's notice that it will take the machine.
+func (s *State) handleReclaimNotice(m *machine, r *model.Report) {
 	if r.Recall == nil {
 		return
 	}
-	if m.recallAt == 0 {
+	if m.reclaimAt == 0 {
 		s.log(slog.LevelInfo, "machine recalled", "host", m.host, "in_s", *r.Recall)
 		s.dirty = true
 	}
-	m.recallAt = s.now + time.Duration(*r.Recall*float64(time.Second))
+	m.reclaimAt = s.now + time.Duration(*r.Recall*float64(time.Second))
 }
 
-// notListed takes that a report doesn't show a task that is bound to its machine.
+// handleUnlistedTask takes that a report doesn't show a task that is bound to its machine.
 // That is conclusive only when no start can still arrive: the worker has moved on
 // from the answer that carried it, and has shown an epoch above that of any direct
 // command without an outcome.
-func (s *State) notListed(t *task, r *model.Report, own bool) {
+func (s *State) handleUnlistedTask(t *task, r *model.Report, own bool) {
 	m := t.m
 	gone := t.issued && (t.directEpoch == 0 || r.Epoch > t.directEpoch) && (t.issuedSeq == 0 || own && r.Seq > t.issuedSeq)
 	switch {
@@ -102,15 +102,15 @@
 	}
 }
 
-// piece takes one task of a report.
-func (s *State) piece(m *machine, p model.TaskReport, r *model.Report) {
+// applyTaskReport takes one task of a report.
+func (s *State) applyTaskReport(m *machine, p model.TaskReport, r *model.Report) {
 	id, i, ok := model.SplitTask(p.Task)
 	if !ok {
 		return
 	}
 	j := s.jobs[id]
 	if t := m.tasks[p.Task]; t != nil && t.attempt == p.Attempt {
-		s.progress(t, p)
+		s.updateTask(t, p)
 		return
 	}
 	if p.State == model.TaskExited {
@@ -127,23 +127,23 @@
 		if j.Kind == model.Gang {
 			s.adoptGang(t)
 		}
-		s.progress(t, p)
+		s.updateTask(t, p)
 		return
 	}
-	if len(m.orphans) == 0 {
+	if len(m.orphanedTasks) == 0 {
 		s.machinesWithOrphans = append(s.machinesWithOrphans, m)
 	}
-	m.orphans[p.Task] = p
-	m.stale = true
+	m.orphanedTasks[p.Task] = p
+	m.viewStale = true
 }
 
-// progress takes a bound task's reported state.
-func (s *State) progress(t *task, p model.TaskReport) {
+// updateTask takes a bound task's reported state.
+func (s *State) updateTask(t *task, p model.TaskReport) {
 	m, j := t.m, t.job
 	t.issued = true
 	if t.state != p.State {
 		s.dirty = s.dirty || p.State == model.TaskExited
-		m.stale, m.unsent = true, true
+		m.viewStale, m.hasUnsentOrders = true, true
 		if p.State == model.TaskRunning {
 			t.since = s.now
 			m.view.Images.Use(j.Image, j.ImageGB)
@@ -165,20 +165,20 @@
 	s.unbind(t, p.Cause)
 	switch p.Cause {
 	case model.CauseDone:
-		s.ran(t)
+		s.recordRunTime(t)
 		s.finished(j, t.index)
-		j.errors, m.errors = 0, 0
+		j.errors, m.consecutiveErrors = 0, 0
 		m.view.Images.Use(j.Image, j.ImageGB)
 	case model.CauseError:
 		// Mostly the machine is at fault, sometimes the job: both pause for
 		// longer each time, so that neither makes a tight loop.
 		j.errors++
-		m.errors++
+		m.consecutiveErrors++
 		j.retryAt = s.now + s.backoff(j.errors)
-		m.downUntil = s.now + 2*s.backoff(m.errors)
+		m.backoffUntil = s.now + 2*s.backoff(m.consecutiveErrors)
 		s.log(slog.LevelInfo, "task failed", "task", t.name, "attempt", t.attempt, "host", m.host, "term", s.leadership.Term)
 	case model.CauseNoRoom, model.CauseBusy:
-		m.downUntil = s.now + s.cfg.ReportInterval
+		m.backoffUntil = s.now + s.cfg.ReportInterval
 		s.log(slog.LevelInfo, "start refused", "task", t.name, "attempt", t.attempt, "host", m.host, "cause", p.Cause, "term", s.leadership.Term)
 	case model.CauseUnknown:
 		j.errors++
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -41,7 +41,7 @@
 	t.job.tasks[t.index], t.m.tasks[t.name] = t, t
 	t.job.zones[t.zone]++
 	s.teams[t.job.Team] = s.teams[t.job.Team].Add(t.job.teamShare())
-	t.m.stale, t.m.unsent = true, true
+	t.m.viewStale, t.m.hasUnsentOrders = true, true
 }
 
 // unlink takes it out of them.
@@ -55,7 +55,7 @@
 		t.job.zones[t.zone]--
 	}
 	s.teams[t.job.Team] = s.teams[t.job.Team].Sub(t.job.teamShare())
-	t.m.stale = true
+	t.m.viewStale = true
 }
 
 // unbind frees a task from its machine; if it isn't done it waits again.
@@ -64,7 +64,7 @@
 	s.unfetch(t)
 	s.dirty = true
 	if t.job.phase == model.PhaseAborted {
-		s.debug("cancelled task gone", "task", t.name, "attempt", t.attempt, "host", t.m.host, "why", why, "term", s.leadership.Term)
+		s.logDebug("cancelled task gone", "task", t.name, "attempt", t.attempt, "host", t.m.host, "why", why, "term", s.leadership.Term)
 	}
 	if why != model.CauseDone && !t.job.final() {
 		if t.job.Kind == model.Gang {
@@ -106,25 +106,25 @@
 func (s *State) stop(t *task, grace float64) {
 	if !t.killing || grace < t.grace {
 		t.killing, t.grace, t.killAt = true, grace, s.now
-		t.m.stale, t.m.unsent = true, true
+		t.m.viewStale, t.m.hasUnsentOrders = true, true
 	}
 }
 
 // recalls clears machines that the cloud is about to take.
 func (s *State) recalls() {
 	for _, m := range s.machinesByName {
-		if m.recallAt == 0 || !m.adopted {
+		if m.reclaimAt == 0 || !m.reconciled {
 			continue
 		}
 		for _, t := range m.tasks {
-			if !t.killing && s.endsAfter(t, m.recallAt) {
+			if !t.killing && s.endsAfter(t, m.reclaimAt) {
 				// Its work is lost in any case: begun anew now rather than when
 				// the machine goes.
 				s.kill(t, 0)
 				continue
 			}
 			margin := time.Duration(t.job.SaveCost*float64(time.Second)) + s.cfg.ReportInterval
-			if !t.killing && s.now >= m.recallAt-margin {
+			if !t.killing && s.now >= m.reclaimAt-margin {
 				s.kill(t, t.job.SaveCost*1.25)
 			}
 		}
@@ -139,6 +139,6 @@
 	if t.state != model.TaskRunning || t.since == 0 {
 		return t.state != ""
 	}
-	e, _ := t.job.expect()
+	e, _ := t.job.expectedRunTime()
 	return t.since+e*3/4 > at
 }
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -19,7 +19,7 @@
 func (s *State) transferLeadership(term uint64) {
 	ages := map[string]int{}
 	for _, m := range s.machinesByName {
-		if ago := s.now - m.lastReplyAt; m.rostered && ago > s.cfg.ReportInterval {
+		if ago := s.now - m.lastReplyAt; m.registered && ago > s.cfg.ReportInterval {
 			ages[m.host] = int(ago / time.Millisecond)
 		}
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, m := range s.machinesByName {
-		if m.rostered && !m.up && m.answeredEpoch == 0 {
+		if m.registered && !m.hasReported && m.answeredEpoch == 0 {
 			m.lastReplyAt = min(m.lastReplyAt, s.latestPossibleReplyAt(m))
 		}
 	}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -81,7 +81,7 @@
 
 func (s *State) poll(o requester, id string) {
 	if j := s.jobs[id]; j != nil && j.final() {
-		s.tell(o, j) // final for ever: no need to look
+		s.replyWithStatus(o, j) // final for ever: no need to look
 		return
 	}
 	if s.sinceStoreContact() > s.storeContactTimeout() && s.forwardToPeer(o, "poll", id, nil, 0) {
@@ -94,7 +94,7 @@
 
 func (s *State) withdraw(o requester, id string) {
 	if j := s.jobs[id]; j != nil && j.final() {
-		s.tell(o, j)
+		s.replyWithStatus(o, j)
 		return
 	}
 	pass := func() bool { return s.forwardToPeer(o, "withdraw", id, nil, 0) }
@@ -142,9 +142,9 @@
 			switch {
 			case r == written:
 				s.notifyPeers(key, value)
-				s.tell(o, j)
+				s.replyWithStatus(o, j)
 			case r == conflict && j != nil && j.final():
-				s.tell(o, j)
+				s.replyWithStatus(o, j)
 			case !pass():
 				s.later(o, "the state service does not answer")
 			}
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -201,7 +201,7 @@
 		t.Errorf("term %d, leader %s by lease %d, %d types", s.term, s.leaderNode, s.leaderLease, len(s.typeList))
 	}
 	for _, m := range s.machines {
-		if !m.rostered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
+		if !m.registered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
 			t.Errorf("machine %s: %+v", m.host, m)
 		}
 	}
@@ -218,7 +218,7 @@
 	if j := s.jobs["req-000010"]; j.doneCount != 11 || !j.durable(10) || j.durable(11) {
 		t.Errorf("%d of 11 finished tasks read", j.doneCount)
 	}
-	if m := s.machines["n-7"]; m == nil || !m.rostered || !m.standing {
+	if m := s.machines["n-7"]; m == nil || !m.registered || !m.preexisting {
 		t.Errorf("a machine's own key: %+v", m)
 	}
 }
@@ -388,7 +388,7 @@
 		t.Errorf("machines by page: %v", pages)
 	}
 	for host := range hosts {
-		if m := s.machines[host]; m == nil || !m.rostered || m.page != at[host] || m.pageStored != at[host] {
+		if m := s.machines[host]; m == nil || !m.registered || m.page != at[host] || m.storedPage != at[host] {
 			t.Errorf("%s: wanted and stored on page %d, kept as %+v", host, at[host], m)
 		}
 	}
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -15,8 +15,8 @@
 // be on the roster it isn't: a session that has begun since has a lease that no
 // successor would know of.
 func (s *State) usable(m *machine) bool {
-	return m.adopted && m.rostered && m.silentStored == 0 && !m.lapsed && !m.slow && !m.returning && !m.reach.lost && m.recallAt == 0 && m.typ != nil &&
-		s.now >= m.downUntil && s.now-m.lastReplyAt < s.silence()
+	return m.reconciled && m.registered && m.storedUnresponsiveSince == 0 && !m.leaseExpired && !m.slow && !m.returning && !m.reachability.unreachable && m.reclaimAt == 0 && m.machineType != nil &&
+		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.silence()
 }
 
 // silence is how long a machine may go without a report before it counts as
@@ -26,10 +26,10 @@
 // refreshView works out m's free room and what runs on it, if anything has
 // changed since it was last done.
 func (s *State) refreshView(m *machine) {
-	if !m.stale {
+	if !m.viewStale {
 		return
 	}
-	m.stale = false
+	m.viewStale = false
 	v := &m.view
 	v.Free = v.Capacity
 	v.Running = v.Running[:0]
@@ -47,13 +47,13 @@
 			begin := t.since
 			if t.state != model.TaskRunning {
 				begin = s.now
-				m.stale = true // the end moves on until it has begun
+				m.viewStale = true // the end moves on until it has begun
 			}
 			end = begin + time.Duration(t.job.Estimate*float64(time.Second))
 		}
 		v.Add(sched.Running{Need: need, End: end})
 	}
-	for name := range m.orphans {
+	for name := range m.orphanedTasks {
 		if j := s.orphanJob(name); j != nil {
 			v.Free = v.Free.Sub(j.need())
 		} else {
@@ -129,7 +129,7 @@
 	if lim.CPUs == 0 && lim.GPUs == 0 {
 		return true
 	}
-	if !s.settled {
+	if !s.takeoverComplete {
 		// Machines that haven't shown their tasks in this term may run more
 		// of the team's than we count: even a new job has to wait, or the
 		// team would exceed its limit together with what is unseen.
@@ -137,7 +137,7 @@
 	}
 	used := s.teams[j.Team]
 	for _, m := range s.machinesWithOrphans {
-		for name := range m.orphans {
+		for name := range m.orphanedTasks {
 			o := s.orphanJob(name)
 			if o == nil {
 				return false // whose it is isn't known: it may be this team's
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,21 +12,21 @@
 	"mulleinfall/internal/sched"
 )
 
-// Want is a number of like tasks that want room.
-type Want struct {
+// Demand is a number of like tasks that want room.
+type Demand struct {
 	Job   *model.Job
 	Need  sched.Resources
 	Count int
-	// Patient: no hurry yet, so only spot machines are rented for it.
-	Patient bool
+	// CanWait: no hurry yet, so only spot machines are rented for it.
+	CanWait bool
 	// OneZone: all in one zone. Together: of use only all at once.
-	OneZone, Together bool
-	// PerZone is how many more tasks of the job each zone may take; nil: any.
-	PerZone func(zone string) int
+	OneZone, AllOrNothing bool
+	// ZoneAllowance is how many more tasks of the job each zone may take; nil: any.
+	ZoneAllowance func(zone string) int
 }
 
-// Coming is a machine that has room or will have it soon.
-type Coming struct {
+// ExpectedCapacity is a machine that has room or will have it soon.
+type ExpectedCapacity struct {
 	Type, Zone string
 	Spot       bool
 	Free       sched.Resources
@@ -38,9 +38,9 @@
 	Zone  string
 	Spot  bool
 	Price float64
-	// Have is how many machines are in the zone already; equal offers go to
+	// MachinesInZone is how many machines are in the zone already; equal offers go to
 	// the zone with the fewest.
-	Have int
+	MachinesInZone int
 }
 
 // Rental is a request to the cloud.
@@ -52,7 +52,7 @@
 	Gangs []string
 }
 
-func fits(w *Want, typ, zone string, spot bool) bool {
+func fits(w *Demand, typ, zone string, spot bool) bool {
 	j := w.Job
 	return j.AllowsType(typ) && (j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
 }
@@ -60,16 +60,16 @@
 // Plan fills what is coming with the wants, in order, and rents for the rest,
 // at most limit machines. For tasks that are of use only all at once nothing is
 // rented where not all of them find room; unmet lists the jobs of those.
-func Plan(wants []Want, coming []Coming, offers []Offer, limit int) (rentals []Rental, unmet []string) {
-	p := &plan{coming: coming, offers: slices.Clone(offers), index: map[int]int{}, limit: limit}
+func Plan(wants []Demand, coming []ExpectedCapacity, offers []Offer, limit int) (rentals []Rental, unmet []string) {
+	p := &plan{expected: coming, offers: slices.Clone(offers), rentalIndex: map[int]int{}, limit: limit}
 	for i := range wants {
 		w := &wants[i]
-		if !w.Together {
-			p.meet(w)
+		if !w.AllOrNothing {
+			p.satisfy(w)
 			continue
 		}
 		before := p.clone()
-		if p.meet(w) > 0 {
+		if p.satisfy(w) > 0 {
 			*p = *before // a part of it would stand idle
 			unmet = append(unmet, w.Job.ID)
 		}
@@ -79,79 +79,79 @@
 
 // plan is what is rented so far, and the room that is left.
 type plan struct {
-	coming  []Coming
-	offers  []Offer
-	rentals []Rental
-	index   map[int]int // of an offer: its place in rentals
-	limit   int
+	expected    []ExpectedCapacity
+	offers      []Offer
+	rentals     []Rental
+	rentalIndex map[int]int // of an offer: its place in rentals
+	limit       int
 }
 
 func (p *plan) clone() *plan {
 	c := *p
-	c.coming, c.offers, c.rentals, c.index = slices.Clone(p.coming), slices.Clone(p.offers), slices.Clone(p.rentals), maps.Clone(p.index)
+	c.expected, c.offers, c.rentals, c.rentalIndex = slices.Clone(p.expected), slices.Clone(p.offers), slices.Clone(p.rentals), maps.Clone(p.rentalIndex)
 	return &c
 }
 
-// open is a want and what is left of it.
-type open struct {
-	*Want
-	left  int
-	zones map[string]int // tasks that found room, by zone
+// openDemand is a want and what is left of it.
+type openDemand struct {
+	*Demand
+	remaining    int
+	placedByZone map[string]int // tasks that found room, by zone
 }
 
-// room is how many more tasks zone may take.
-func (o *open) room(zone string) int {
-	if o.PerZone == nil {
+// zoneAllowance is how many more tasks zone may take.
+func (o *openDemand) zoneAllowance(zone string) int {
+	if o.ZoneAllowance == nil {
 		return math.MaxInt
 	}
-	return o.PerZone(zone) - o.zones[zone]
+	return o.ZoneAllowance(zone) - o.placedByZone[zone]
 }
 
 // fill puts as many tasks as fit into free and returns what is left of it.
-func (o *open) fill(zone string, free sched.Resources) sched.Resources {
-	for o.left > 0 && o.room(zone) > 0 && free.Fits(o.Need) {
+func (o *openDemand) fill(zone string, free sched.Resources) sched.Resources {
+	for o.remaining > 0 && o.zoneAllowance(zone) > 0 && free.Fits(o.Need) {
 		free = free.Sub(o.Need)
-		o.zones[zone]++
-		o.left--
+		o.placedByZone[zone]++
+		o.remaining--
 	}
 	return free
 }
 
-// meet finds room for a want, rents what is missing, and returns how many tasks
+// satisfy finds room for a want, rents what is missing, and returns how many tasks
 // have found none.
-func (p *plan) meet(w *Want) int {
-	o := &open{Want: w, left: w.Count, zones: map[string]int{}}
+func (p *plan) satisfy(w *Demand) int {
+	o := &openDemand{Demand: w, remaining: w.Count, placedByZone: map[string]int{}}
 	if w.OneZone && w.Job.Zone == "" {
-		w.Job = inZone(w, p.coming, p.offers)
+		w.Job = withChosenZone(w, p.expected, p.offers)
 	}
-	for k := range p.coming {
-		c := &p.coming[k]
+	for k := range p.expected {
+		c := &p.expected[k]
 		if fits(w, c.Type, c.Zone, c.Spot) {
 			c.Free = o.fill(c.Zone, c.Free)
 		}
 	}
-	for o.left > 0 && p.limit > 0 {
-		best := p.cheapest(o)
+	for o.remaining > 0 && p.limit > 0 {
+		best := p.cheapestOffer(o)
 		if best < 0 {
 			break
 		}
 		p.rent(best, o)
 	}
-	return o.left
+	return o.remaining
 }
 
-// cheapest is the offer that costs least a task, if its machine is filled as far
+// cheapestOffer is the offer that costs least a task, if its machine is filled as far
 // as this want can fill it; -1 if none will do.
-func (p *plan) cheapest(o *open) int {
+func (p *plan) cheapestOffer(o *openDemand) int {
 	best, bestCost := -1, math.Inf(1)
 	for k := range p.offers {
 		f := &p.offers[k]
 		capacity := f.capacity()
-		if o.Patient && !f.Spot || !fits(o.Want, f.Type.Name, f.Zone, f.Spot) || o.room(f.Zone) <= 0 || !capacity.Fits(o.Need) {
+		if o.CanWait && !f.Spot || !fits(o.Demand, f.Type.Name, f.Zone, f.Spot) || o.zoneAllowance(f.Zone) <= 0 || !capacity.Fits(o.Need) {
 			continue
 		}
-		cost := f.Price / float64(min(o.left, o.room(f.Zone), holds(capacity, o.Need)))
-		if cost < bestCost-1e-9 || math.Abs(cost-bestCost) <= 1e-9 && best >= 0 && f.Have < p.offers[best].Have {
+		cost := f.Price / float64(min(o.remaining, o.zoneAllowance(f.Zone), tasksThatFit(capacity, o.Need)))
+		if cost < bestCost-1e-9 || math.Abs(cost-bestCost) <= 1e-9 && best >= 0 && f.MachinesInZone < p.offers[best].MachinesInZone {
 			best, bestCost = k, cost
 		}
 	}
@@ -159,22 +159,22 @@
 }
 
 // rent adds a machine of an offer and fills it.
-func (p *plan) rent(offer int, o *open) {
+func (p *plan) rent(offer int, o *openDemand) {
 	f := &p.offers[offer]
-	f.Have++
+	f.MachinesInZone++
 	p.limit--
-	at, ok := p.index[offer]
+	at, ok := p.rentalIndex[offer]
 	if !ok {
 		at = len(p.rentals)
-		p.index[offer] = at
+		p.rentalIndex[offer] = at
 		p.rentals = append(p.rentals, Rental{Type: f.Type.Name, Zone: f.Zone, Spot: f.Spot})
 	}
 	r := &p.rentals[at]
 	r.Count++
-	if o.Together && !slices.Contains(r.Gangs, o.Job.ID) {
+	if o.AllOrNothing && !slices.Contains(r.Gangs, o.Job.ID) {
 		r.Gangs = append(slices.Clone(r.Gangs), o.Job.ID)
 	}
-	p.coming = append(p.coming, Coming{f.Type.Name, f.Zone, f.Spot, o.fill(f.Zone, f.capacity())})
+	p.expected = append(p.expected, ExpectedCapacity{f.Type.Name, f.Zone, f.Spot, o.fill(f.Zone, f.capacity())})
 }
 
 // capacity is the room of an empty machine.
@@ -182,9 +182,9 @@
 	return sched.Resources{CPUs: o.Type.CPUs, GPUs: o.Type.GPUs, MemoryGB: o.Type.MemoryGB}
 }
 
-// inZone picks the zone for tasks that must all be in one: where most of them
+// withChosenZone picks the zone for tasks that must all be in one: where most of them
 // find room, among those where the rest could be rented.
-func inZone(w *Want, coming []Coming, offers []Offer) *model.Job {
+func withChosenZone(w *Demand, coming []ExpectedCapacity, offers []Offer) *model.Job {
 	room := map[string]int{}
 	for _, c := range coming {
 		if fits(w, c.Type, c.Zone, c.Spot) {
@@ -195,11 +195,11 @@
 	}
 	best, most, fewest := "", -1, 0
 	for _, o := range offers {
-		if w.Patient && !o.Spot || !fits(w, o.Type.Name, o.Zone, o.Spot) || !o.capacity().Fits(w.Need) {
+		if w.CanWait && !o.Spot || !fits(w, o.Type.Name, o.Zone, o.Spot) || !o.capacity().Fits(w.Need) {
 			continue
 		}
-		if n := min(room[o.Zone], w.Count); n > most || n == most && (o.Have < fewest || o.Have == fewest && o.Zone < best) {
-			best, most, fewest = o.Zone, n, o.Have
+		if n := min(room[o.Zone], w.Count); n > most || n == most && (o.MachinesInZone < fewest || o.MachinesInZone == fewest && o.Zone < best) {
+			best, most, fewest = o.Zone, n, o.MachinesInZone
 		}
 	}
 	for zone, n := range room {
@@ -212,8 +212,8 @@
 	return &j
 }
 
-// holds is how many tasks of one need fill a capacity.
-func holds(capacity, need sched.Resources) int {
+// tasksThatFit is how many tasks of one need fill a capacity.
+func tasksThatFit(capacity, need sched.Resources) int {
 	n := math.Inf(1)
 	for _, p := range [][2]float64{{capacity.CPUs, need.CPUs}, {capacity.GPUs, need.GPUs}, {capacity.MemoryGB, need.MemoryGB}} {
 		if p[1] > 0 {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,45 +23,45 @@
 	return out
 }
 
-func want(n int, j model.Job) Want {
+func newDemand(n int, j model.Job) Demand {
 	j.CPUs, j.MemoryGB = 2, 4
-	return Want{Job: &j, Need: sched.Resources{CPUs: 2, MemoryGB: 4}, Count: n}
+	return Demand{Job: &j, Need: sched.Resources{CPUs: 2, MemoryGB: 4}, Count: n}
 }
 
 func TestPlan(t *testing.T) {
-	spread := want(2, model.Job{})
-	spread.PerZone = func(string) int { return 1 }
-	patient := want(2, model.Job{Spot: true})
-	patient.Patient = true
-	nospot := want(2, model.Job{})
-	nospot.Patient = true
-	gang := func(n int) Want {
-		w := want(n, model.Job{ID: "gang"})
-		w.Together = true
+	spread := newDemand(2, model.Job{})
+	spread.ZoneAllowance = func(string) int { return 1 }
+	patient := newDemand(2, model.Job{Spot: true})
+	patient.CanWait = true
+	nospot := newDemand(2, model.Job{})
+	nospot.CanWait = true
+	gang := func(n int) Demand {
+		w := newDemand(n, model.Job{ID: "gang"})
+		w.AllOrNothing = true
 		return w
 	}
 	cases := []struct {
 		name   string
-		wants  []Want
-		coming []Coming
+		wants  []Demand
+		coming []ExpectedCapacity
 		limit  int
 		want   string
 	}{
 		{"nothing is wanted", nil, nil, 9, "[]"},
-		{"two tasks fill a small machine", []Want{want(2, model.Job{})}, nil, 9, "[{small a false 1 []}]"},
-		{"many tasks fill a large one", []Want{want(8, model.Job{})}, nil, 9, "[{large a false 1 []}]"},
-		{"spot where the job may", []Want{want(2, model.Job{Spot: true})}, nil, 9, "[{small a true 1 []}]"},
-		{"what is coming is filled first", []Want{want(2, model.Job{})}, []Coming{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[]"},
-		{"but not on a kind that the job may not use", []Want{want(2, model.Job{})}, []Coming{{"small", "b", true, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[{small a false 1 []}]"},
-		{"spread over zones", []Want{spread}, nil, 9, "[{small a false 1 []} {small b false 1 []}]"},
-		{"only zone b", []Want{want(2, model.Job{Zone: "b"})}, nil, 9, "[{small b false 1 []}]"},
-		{"only large machines", []Want{want(1, model.Job{Types: []string{"large"}})}, nil, 9, "[{large a false 1 []}]"},
-		{"a patient job takes spot machines", []Want{patient}, nil, 9, "[{small a true 1 []}]"},
-		{"and none if it may not use them", []Want{nospot}, nil, 9, "[]"},
-		{"a gang whole", []Want{gang(10)}, nil, 9, "[{large a false 1 [gang]} {small a false 1 [gang]}]"},
-		{"a gang not in part, and others instead", []Want{gang(40), want(2, model.Job{})}, nil, 2, "[{small a false 1 []}] unmet [gang]"},
-		{"what comes is not for a gang that it isn't enough for", []Want{gang(40), want(2, model.Job{})}, []Coming{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 2, "[] unmet [gang]"},
-		{"no more than the limit", []Want{want(40, model.Job{})}, nil, 2, "[{large a false 1 []} {large b false 1 []}]"},
+		{"two tasks fill a small machine", []Demand{newDemand(2, model.Job{})}, nil, 9, "[{small a false 1 []}]"},
+		{"many tasks fill a large one", []Demand{newDemand(8, model.Job{})}, nil, 9, "[{large a false 1 []}]"},
+		{"spot where the job may", []Demand{newDemand(2, model.Job{Spot: true})}, nil, 9, "[{small a true 1 []}]"},
+		{"what is coming is filled first", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[]"},
+		{"but not on a kind that the job may not use", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", true, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[{small a false 1 []}]"},
+		{"spread over zones", []Demand{spread}, nil, 9, "[{small a false 1 []} {small b false 1 []}]"},
+		{"only zone b", []Demand{newDemand(2, model.Job{Zone: "b"})}, nil, 9, "[{small b false 1 []}]"},
+		{"only large machines", []Demand{newDemand(1, model.Job{Types: []string{"large"}})}, nil, 9, "[{large a false 1 []}]"},
+		{"a patient job takes spot machines", []Demand{patient}, nil, 9, "[{small a true 1 []}]"},
+		{"and none if it may not use them", []Demand{nospot}, nil, 9, "[]"},
+		{"a gang whole", []Demand{gang(10)}, nil, 9, "[{large a false 1 [gang]} {small a false 1 [gang]}]"},
+		{"a gang not in part, and others instead", []Demand{gang(40), newDemand(2, model.Job{})}, nil, 2, "[{small a false 1 []}] unmet [gang]"},
+		{"what comes is not for a gang that it isn't enough for", []Demand{gang(40), newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 2, "[] unmet [gang]"},
+		{"no more than the limit", []Demand{newDemand(40, model.Job{})}, nil, 2, "[{large a false 1 []} {large b false 1 []}]"},
 	}
 	for _, c := range cases {
 		got, unmet := Plan(c.wants, c.coming, offers(), c.limit)
