--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -45,7 +45,7 @@
 	} {
 		addr, sent := worker(t, c.status, c.answer)
 		d := client(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
-			Orders: []model.Order{{Verb: model.Start, Task: "req-000412/4", Attempt: 2}}})
+			Orders: []model.Order{{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2}}})
 		if want := `POST /commands {"epoch":41,"tenure":2,"orders":[{"verb":"start","piece":"req-000412/4","try":2}]}`; *sent != want {
 			t.Errorf("sent %s\nwant %s", *sent, want)
 		}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.ID != "req-000412" || j.Tasks != 16 || j.GPUs != 1 || !j.OneZone || !j.Spot || *j.Due != 900 || j.Zone != "" || j.Types[0] != "g8" {
+	if j.ID != "req-000412" || j.Tasks != 16 || j.GPUs != 1 || !j.OneZone || !j.Spot || *j.DueS != 900 || j.Zone != "" || j.Types[0] != "g8" {
 		t.Errorf("parsed as %+v", j)
 	}
 	wrong := []struct{ from, to, want string }{
@@ -192,8 +192,8 @@
 
 func TestBeatAndOrdersOnTheWire(t *testing.T) {
 	f := &fake{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
-		{Verb: model.Start, Task: "req-000412/4", Attempt: 2},
-		{Verb: model.Kill, Task: "req-000377/1", Attempt: 1, Grace: new(float64)},
+		{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2},
+		{Verb: model.OrderKill, Task: "req-000377/1", Attempt: 1, GraceS: new(float64)},
 	}}}}
 	w := serve(f, "POST", "/agent/beat", `{"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,
 	 "tenure":1,"tick":88,"epoch":41,"recallS":7.5,"pieces":[{"piece":"req-000412/3","try":2,"phase":"exited","cause":"done"}]}`)
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -75,8 +75,8 @@
 		valid bool
 	}{
 		{"id", validID(j.ID)}, {"lane", validWord(j.Class)}, {"owner", validWord(j.Team)}, {"build", validWord(j.Image)},
-		{"shape", slices.Contains([]string{model.Batch, model.Service, model.Gang}, j.Kind)},
-		{"rank", slices.Contains([]string{model.Prod, model.High, model.Normal, model.Low}, j.Priority)},
+		{"shape", slices.Contains([]string{model.KindBatch, model.KindService, model.KindGang}, j.Kind)},
+		{"rank", slices.Contains([]string{model.PriorityProd, model.PriorityHigh, model.PriorityNormal, model.PriorityLow}, j.Priority)},
 		{"flavors", !slices.Contains(j.Types, "")},
 	} {
 		if !f.valid {
@@ -102,13 +102,13 @@
 		value float64
 	}{
 		{"cpus", j.CPUs}, {"cards", j.GPUs}, {"memoryGb", j.MemoryGB}, {"pullGb", j.ImageGB},
-		{"guessS", j.Estimate}, {"snapshotEveryS", j.Checkpoint}, {"snapshotCostS", j.SaveCost},
+		{"guessS", j.EstimateS}, {"snapshotEveryS", j.CheckpointEveryS}, {"snapshotCostS", j.CheckpointCostS},
 	} {
 		if !(a.value >= 0) || a.value > maxAmount {
 			return fmt.Errorf("%s: not valid", a.field)
 		}
 	}
-	if j.Due != nil && (!(*j.Due >= 0) || math.IsInf(*j.Due, 0)) {
+	if j.DueS != nil && (!(*j.DueS >= 0) || math.IsInf(*j.DueS, 0)) {
 		return errors.New("dueS: not valid")
 	}
 	return nil
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -52,8 +52,8 @@
 		done.Types = ans.Types
 	case core.CloudList:
 		var ans struct {
-			Hosts []model.Listed `json:"hosts"`
-			More  bool           `json:"truncated"`
+			Hosts []model.ListedMachine `json:"hosts"`
+			More  bool                  `json:"truncated"`
 		}
 		q := url.Values{"page": {strconv.Itoa(call.Limit)}}
 		if call.After != "" {
--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -14,7 +14,7 @@
 
 // bitmapState paces the writes of bitmaps.
 type bitmapState struct {
-	bitmapsAt time.Duration
+	nextBitmapCheckAt time.Duration
 }
 
 // bitmapValue is a part of a chunk in the state service: its bytes from From on.
@@ -26,11 +26,11 @@
 // chunk is a slice of the finished-task bitmap with its own key, so that the
 // largest job fits the store's values.
 type chunk struct {
-	dirty   bool // bits not yet durable
-	writing bool
-	open    int           // writes of its parts under way
-	at      time.Duration // last write
-	durable []uint64
+	dirty        bool // bits not yet durable
+	writing      bool
+	pendingParts int           // writes of its parts under way
+	lastWriteAt  time.Duration // last write
+	durableBits  []uint64
 }
 
 const (
@@ -38,13 +38,13 @@
 	chunkWords = chunkTasks / 64
 )
 
-// bitmapChanged merges finished tasks from the state service.
-func (s *State) bitmapChanged(name string, it Item) {
+// applyBitmapKey merges finished tasks from the state service.
+func (s *State) applyBitmapKey(name string, it Item) {
 	id, at, ok := strings.Cut(name, "/")
 	j := s.jobs[id]
 	first, _, _ := strings.Cut(at, ".") // the slices of a chunk differ behind the dot
 	n, err := strconv.Atoi(first)
-	if !ok || err != nil || j == nil || j.final() {
+	if !ok || err != nil || j == nil || j.isFinal() {
 		return
 	}
 	var v bitmapValue
@@ -59,11 +59,11 @@
 	for i := range b {
 		at := v.From + i
 		w := n*chunkWords + at/8
-		if w >= len(j.doneBits) || at/8 >= len(c.durable) {
+		if w >= len(j.doneBits) || at/8 >= len(c.durableBits) {
 			break
 		}
 		word := uint64(b[i]) << (8 * (at % 8))
-		c.durable[at/8] |= word
+		c.durableBits[at/8] |= word
 		fresh := word &^ j.doneBits[w]
 		j.doneBits[w] |= word
 		j.doneCount += bits.OnesCount64(fresh)
@@ -74,27 +74,27 @@
 	c := j.chunks[n]
 	if c == nil {
 		words := min(chunkWords, len(j.doneBits)-n*chunkWords)
-		c = &chunk{durable: make([]uint64, max(words, 0))}
+		c = &chunk{durableBits: make([]uint64, max(words, 0))}
 		j.chunks[n] = c
 	}
 	return c
 }
 
-// durable says whether a finished task is safe to forget.
-func (j *job) durable(i int) bool {
-	if j.final() {
+// isDurable says whether a finished task is safe to forget.
+func (j *job) isDurable(i int) bool {
+	if j.isFinal() {
 		return true
 	}
 	c := j.chunks[i/chunkTasks]
-	return c != nil && c.durable[(i%chunkTasks)/64]&(1<<(i%64)) != 0
+	return c != nil && c.durableBits[(i%chunkTasks)/64]&(1<<(i%64)) != 0
 }
 
-// keepBitmaps writes what has finished, each job at most every few seconds.
-func (s *State) keepBitmaps() {
-	if s.now < s.bitmapsAt {
+// writeBitmaps writes what has finished, each job at most every few seconds.
+func (s *State) writeBitmaps() {
+	if s.now < s.nextBitmapCheckAt {
 		return
 	}
-	s.bitmapsAt = s.now + s.cfg.BitmapWriteInterval/8
+	s.nextBitmapCheckAt = s.now + s.cfg.BitmapWriteInterval/8
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.doneCount == j.Tasks {
@@ -103,7 +103,7 @@
 		}
 		for _, n := range sortedKeys(j.chunks) {
 			c := j.chunks[n]
-			if !c.dirty || c.writing || s.now < c.at+s.cfg.BitmapWriteInterval {
+			if !c.dirty || c.writing || s.now < c.lastWriteAt+s.cfg.BitmapWriteInterval {
 				continue
 			}
 			s.writeChunk(j, n, c)
@@ -112,8 +112,8 @@
 }
 
 func (s *State) writeChunk(j *job, n int, c *chunk) {
-	c.dirty, c.writing, c.at = false, true, s.now
-	bits := append([]uint64(nil), j.doneBits[n*chunkWords:n*chunkWords+len(c.durable)]...)
+	c.dirty, c.writing, c.lastWriteAt = false, true, s.now
+	bits := append([]uint64(nil), j.doneBits[n*chunkWords:n*chunkWords+len(c.durableBits)]...)
 	b := make([]byte, 0, len(bits)*8)
 	for _, w := range bits {
 		for k := 0; k < 8; k++ {
@@ -129,7 +129,7 @@
 	most := (s.cfg.MaxValueBytes - 64) * 3 / 4
 	last := max(len(b)-1, 0) / most * most
 	if s.clusterVersion < versionGangs && last > 0 {
-		if slices.ContainsFunc(c.durable[most/8:], func(w uint64) bool { return w != 0 }) {
+		if slices.ContainsFunc(c.durableBits[most/8:], func(w uint64) bool { return w != 0 }) {
 			c.dirty, c.writing = true, false
 			return // a larger value stands, and would lose what is beyond
 		}
@@ -141,17 +141,17 @@
 		if from > 0 {
 			key += "." + strconv.Itoa(from/most)
 		}
-		c.open++
+		c.pendingParts++
 		s.queueWrite(&write{
 			change:     Change{Key: key, Value: mustMarshal(bitmapValue{base64.StdEncoding.EncodeToString(part), from})},
 			leaderTerm: s.leadership.Term,
 			deadline:   s.now + time.Hour,
 			class:      classBitmap,
 			// Written after the job's end it would stay for ever.
-			isObsolete: func() bool { return j.final() || j.finishing },
+			isObsolete: func() bool { return j.isFinal() || j.writingDone },
 			done: func(r outcome) {
-				c.open--
-				c.writing = c.open > 0
+				c.pendingParts--
+				c.writing = c.pendingParts > 0
 				if r != written {
 					c.dirty = true
 				}
--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -68,13 +68,13 @@
 		return
 	}
 	c.confirmed = true
-	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.overAt, "leading", s.IsLeader())
+	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.finalSeenAt, "leading", s.IsLeader())
 }
 
 // recordStopsSent notes the stops among the orders that a machine is sent.
 func (s *State) recordStopsSent(m *machine, orders []model.Order, way string) {
 	for _, o := range orders {
-		if o.Verb == model.Kill {
+		if o.Verb == model.OrderKill {
 			s.recordStopSent(o.Task, m.host, way)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // recordStopSent notes that a worker is sent a stop of a cancelled job's task.
 func (s *State) recordStopSent(task, host, way string) {
-	id, _, _ := model.SplitTask(task)
+	id, _, _ := model.ParseTaskName(task)
 	j := s.jobs[id]
 	if j == nil || j.phase != model.PhaseAborted {
 		return
@@ -130,7 +130,7 @@
 		c := s.watched[id]
 		if s.IsLeader() && (len(c.job.tasks) > 0 || shown[id]) {
 			outstanding++
-			if oldest == nil || c.job.overAt < oldest.job.overAt {
+			if oldest == nil || c.job.finalSeenAt < oldest.job.finalSeenAt {
 				oldest = c
 			}
 			continue
@@ -140,7 +140,7 @@
 	if oldest == nil {
 		return
 	}
-	level, known := slog.LevelInfo, s.now-oldest.job.overAt
+	level, known := slog.LevelInfo, s.now-oldest.job.finalSeenAt
 	if float64(known) >= cancellationWarningShare*float64(s.cfg.CancelWithin) {
 		level = slog.LevelWarn
 	}
@@ -151,13 +151,13 @@
 // endCancellationWatch forgets a cancellation: its tasks are gone as far as this
 // leader can know, or it is another controller's to look after them.
 func (s *State) endCancellationWatch(id string, c *cancellationRecord) {
-	over := s.now - c.job.overAt
+	over := s.now - c.job.finalSeenAt
 	switch {
 	case s.IsLeader() && s.takeoverComplete:
 		delete(s.watched, id)
 		if c.stopCount > 0 {
 			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", over, "stops", c.stopCount,
-				"first_stop_after", c.firstStopAt-c.job.overAt, "last_stop_after", c.lastStopAt-c.job.overAt, "term", s.leadership.Term)
+				"first_stop_after", c.firstStopAt-c.job.finalSeenAt, "last_stop_after", c.lastStopAt-c.job.finalSeenAt, "term", s.leadership.Term)
 		}
 	case over > s.cfg.CancelWithin:
 		delete(s.watched, id)
@@ -170,7 +170,7 @@
 	jobs := map[string]bool{}
 	for _, m := range s.machinesWithOrphans {
 		for task := range m.orphanedTasks {
-			id, _, _ := model.SplitTask(task)
+			id, _, _ := model.ParseTaskName(task)
 			jobs[id] = true
 		}
 	}
--- a/internal/core/cancellation_watch_test.go
+++ b/internal/core/cancellation_watch_test.go
@@ -24,10 +24,10 @@
 // leaderWithCancelledTask is a leader that has learnt at 10 s that a job is
 // cancelled, whose task a machine still shows.
 func leaderWithCancelledTask() (*State, *job) {
-	s := alone()
+	s := newSingleController()
 	s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
-	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
-	spec := &model.Job{ID: "req-000001", Team: "t", Tasks: 1, Kind: model.Service}
+	s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
+	spec := &model.Job{ID: "req-000001", Team: "t", Tasks: 1, Kind: model.KindService}
 	s.apply(Item{Key: prefixJobs + spec.ID, Value: mustMarshal(jobValue{Spec: spec}), ModRevision: 5})
 	m := s.ensureMachine("n-1")
 	m.session, m.reconciled = 1, true
@@ -73,7 +73,7 @@
 // TestCancellationLogIsBounded: what is kept for the log doesn't grow with the
 // cancellations, and what isn't the leader's is forgotten in time.
 func TestCancellationLogIsBounded(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	s.loaded = true
 	for i := range maxWatchedCancellations + 50 {
 		key := fmt.Sprintf("%sreq-%06d", prefixJobs, i)
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -139,14 +139,14 @@
 func (s *State) replyWithStatus(o requester, j *job) {
 	if s.canConfirm(j) {
 		s.logCancellationConfirmed(j)
-		s.answer(o, 200, s.status(j), 0)
+		s.replyToUser(o, 200, s.jobStatus(j), 0)
 		return
 	}
 	if len(s.pendingConfirmations) >= s.cfg.MaxRequests {
-		s.later(o, "too many requests under way")
+		s.replyRetryLater(o, "too many requests under way")
 		return
 	}
-	s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{o, j, s.now + userWait/2})
+	s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{o, j, s.now + userRequestTimeout/2})
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgCancelled, Counts: map[string]int{j.ID: int(s.unacknowledged[j.ID])}}})
 	}
@@ -160,9 +160,9 @@
 		switch {
 		case s.canConfirm(u.job):
 			s.logCancellationConfirmed(u.job)
-			s.answer(u.requester, 200, s.status(u.job), 0)
+			s.replyToUser(u.requester, 200, s.jobStatus(u.job), 0)
 		case s.now >= u.deadline:
-			s.later(u.requester, "the leader does not answer")
+			s.replyRetryLater(u.requester, "the leader does not answer")
 		default:
 			s.pendingConfirmations = append(s.pendingConfirmations, u)
 		}
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -69,7 +69,7 @@
 		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(d.Types)) > s.cfg.MaxValueBytes {
 			return // or too long to be kept: each controller asks the cloud itself
 		}
-		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(d.Types)}, class: classRegistry, deadline: s.now + userWait, done: func(outcome) {}})
+		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(d.Types)}, class: classRegistry, deadline: s.now + userRequestTimeout, done: func(outcome) {}})
 	})
 }
 
@@ -91,7 +91,7 @@
 			s.types[t.Name] = &t
 			continue
 		}
-		if old.CPUs != t.CPUs || old.GPUs != t.GPUs || old.MemoryGB != t.MemoryGB || old.CacheGB != t.CacheGB || old.FetchRate != t.FetchRate {
+		if old.CPUs != t.CPUs || old.GPUs != t.GPUs || old.MemoryGB != t.MemoryGB || old.CacheGB != t.CacheGB || old.FetchGBPerS != t.FetchGBPerS {
 			changed = true
 		}
 		*old = t
@@ -146,7 +146,7 @@
 
 // applyListedMachine takes a line of the machine list. The list lags: what it lacks says
 // nothing, and a machine that is gone may still be on it.
-func (s *State) applyListedMachine(l model.Listed) {
+func (s *State) applyListedMachine(l model.ListedMachine) {
 	m := s.machines[l.Host]
 	age := time.Duration(l.AgeS * float64(time.Second))
 	if m == nil {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -84,7 +84,7 @@
 func (s *State) sendUnsentOrders(m *machine) {
 	var open []*task
 	for _, t := range m.tasks {
-		if !t.issued || t.killing {
+		if !t.startSent || t.stopping {
 			open = append(open, t)
 		}
 	}
@@ -95,12 +95,12 @@
 		if len(orders) >= 100 {
 			break
 		}
-		if !t.issued && !t.killing && m.registered {
-			orders = append(orders, model.Order{Verb: model.Start, Task: t.name, Attempt: t.attempt})
+		if !t.startSent && !t.stopping && m.registered {
+			orders = append(orders, model.Order{Verb: model.OrderStart, Task: t.name, Attempt: t.attempt})
 			starts = append(starts, t)
-		} else if t.killing && t.killAt != 0 && t.state != "" {
+		} else if t.stopping && t.stopRequestedAt != 0 && t.state != "" {
 			orders = append(orders, t.killOrder())
-			t.killAt = 0 // once; reports repeat it
+			t.stopRequestedAt = 0 // once; reports repeat it
 		}
 	}
 	if len(orders) > 0 {
@@ -118,7 +118,7 @@
 	m.commandInFlight = true
 	s.commandsInFlight++
 	for _, t := range starts {
-		t.issued, t.directEpoch = true, epoch
+		t.startSent, t.unconfirmedStartEpoch = true, epoch
 	}
 	if orders == nil {
 		orders = []model.Order{}
@@ -187,17 +187,17 @@
 		s.raiseFence(m)
 	}
 	for _, t := range starts {
-		if t.directEpoch != epoch {
+		if t.unconfirmedStartEpoch != epoch {
 			continue
 		}
-		t.directEpoch = 0 // the outcome is known
+		t.unconfirmedStartEpoch = 0 // the outcome is known
 		if status == 409 {
-			t.issued = t.issuedSeq != 0
+			t.startSent = t.startSentSeq != 0
 		}
 	}
 }
 
 func (t *task) killOrder() model.Order {
-	g := t.grace
-	return model.Order{Verb: model.Kill, Task: t.name, Attempt: t.attempt, Grace: &g}
+	g := t.graceS
+	return model.Order{Verb: model.OrderKill, Task: t.name, Attempt: t.attempt, GraceS: &g}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,9 +11,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// alone makes the state of a controller without peers, for tests that play
+// newSingleController makes the state of a controller without peers, for tests that play
 // the outside by hand.
-func alone() *State {
+func newSingleController() *State {
 	return New(Config{
 		Self: "n0", Incarnation: 1, Teams: map[string]Team{"t": {}},
 		ReportInterval: 1500 * time.Millisecond, Lease: 10 * time.Second, CancelWithin: 30 * time.Second,
@@ -33,7 +33,7 @@
 	return t
 }
 
-func storeCall(effects []Effect, op StoreOp) (StoreCall, bool) {
+func findStoreCall(effects []Effect, op StoreOp) (StoreCall, bool) {
 	for _, e := range effects {
 		if c, ok := e.(StoreCall); ok && c.Op == op {
 			return c, true
@@ -42,13 +42,13 @@
 	return StoreCall{}, false
 }
 
-// TestRemovedKeysAreForgotten: the copy of the state must not grow with every
+// TestRemovedKeysAreDropped: the copy of the state must not grow with every
 // key that ever was, and an old watch's news must not bring one back.
-func TestRemovedKeysAreForgotten(t *testing.T) {
-	s := alone()
-	c, _ := storeCall(s.Step(0, Tick{}), StoreList)
+func TestRemovedKeysAreDropped(t *testing.T) {
+	s := newSingleController()
+	c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
 	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 4, Items: []Item{{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3}}})
-	w, _ := storeCall(s.Step(time.Second, Tick{}), StoreWatch)
+	w, _ := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
 	gone := Item{Key: prefixMachines + "n-1", ModRevision: 5, Removed: true}
 	s.Step(time.Second+time.Millisecond, StoreResult{CallID: w.CallID, Status: 200, Revision: 5, Items: []Item{gone}})
 	s.apply(Item{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3})
@@ -65,21 +65,21 @@
 // that watched from 1 on missed the term of the first election, and no later
 // election could be won.
 func TestFirstRevisionIsWatched(t *testing.T) {
-	s := alone()
-	c, ok := storeCall(s.Step(0, Tick{}), StoreList)
+	s := newSingleController()
+	c, ok := findStoreCall(s.Step(0, Tick{}), StoreList)
 	if !ok {
 		t.Fatal("nothing is read at the start")
 	}
 	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 0})
-	w, ok := storeCall(s.Step(time.Second, Tick{}), StoreWatch)
+	w, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
 	if !ok || w.AfterRevision != 0 {
 		t.Errorf("watch after %d (asked: %v), want 0", w.AfterRevision, ok)
 	}
 }
 
-// TestFootprint bounds what the tables take of the memory: a machine, a job, and
+// TestMemoryPerEntry bounds what the tables take of the memory: a machine, a job, and
 // the outcome of a job that is over, which is kept for ever.
-func TestFootprint(t *testing.T) {
+func TestMemoryPerEntry(t *testing.T) {
 	heap := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -88,8 +88,8 @@
 	}
 	const n = 4000
 	grows := func(item func(i int) Item) float64 {
-		s := alone()
-		c, _ := storeCall(s.Step(0, Tick{}), StoreList)
+		s := newSingleController()
+		c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
 		before := heap()
 		for i := range n {
 			s.apply(item(i))
@@ -106,7 +106,7 @@
 	})
 	job := grows(func(i int) Item {
 		id := fmt.Sprintf("req-%06d", i)
-		return Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Spec: &model.Job{ID: id, Team: "t", Class: "c", Kind: model.Batch, Priority: model.Low, Tasks: 40, Image: "img"}}), ModRevision: uint64(i + 1)}
+		return Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Spec: &model.Job{ID: id, Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow, Tasks: 40, Image: "img"}}), ModRevision: uint64(i + 1)}
 	})
 	over := grows(func(i int) Item {
 		return Item{Key: fmt.Sprintf("%sreq-%06d", prefixJobs, i), Value: mustMarshal(jobValue{Phase: model.PhaseDone, Tasks: 40}), ModRevision: uint64(i + 1)}
@@ -117,11 +117,11 @@
 	}
 }
 
-// TestUnreachedNodeLetsOthersGoFirst: a node that gave up leading because no
+// TestUnreachedControllerDelaysCampaign: a node that gave up leading because no
 // worker reached it was elected again when its successor crashed, and cost the
 // workers a lease. It now runs only when nobody else has after a while, or
 // once a worker has come.
-func TestUnreachedNodeLetsOthersGoFirst(t *testing.T) {
+func TestUnreachedControllerDelaysCampaign(t *testing.T) {
 	claims := func(s *State, at time.Duration) bool {
 		for _, e := range s.Step(at, Tick{}) {
 			if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgVoteRequest {
@@ -131,7 +131,7 @@
 		return false
 	}
 	fresh := func() *State {
-		cfg := alone().cfg
+		cfg := newSingleController().cfg
 		cfg.Peers = []string{"n1", "n2"}
 		s := New(cfg, 0)
 		s.loaded, s.hasContact, s.lastContactAt = true, true, 20*time.Second
@@ -153,11 +153,11 @@
 	}
 }
 
-// TestWhoOverranLetsOthersGoFirst: a controller that could not keep its own
+// TestOverrunLeaderDelaysCampaign: a controller that could not keep its own
 // term up, short of processor time, gives the others a start. Two slow ones
 // passed the lead to and fro, a takeover each time, while a third was well.
-func TestWhoOverranLetsOthersGoFirst(t *testing.T) {
-	cfg := alone().cfg
+func TestOverrunLeaderDelaysCampaign(t *testing.T) {
+	cfg := newSingleController().cfg
 	cfg.Peers = []string{"n1", "n2"}
 	runs := func(entitlementLostAt time.Duration) time.Duration {
 		s := New(cfg, 0)
@@ -184,14 +184,14 @@
 	}
 }
 
-// TestFreshControllerVotes: a controller that has just started doesn't know
+// TestVotesDuringStartupWait: a controller that has just started doesn't know
 // what its earlier life promised. It supports a candidate at once only where
 // that can't matter: the candidate's key is guarded by the version of the term
 // that was read since the start, and the holder of that term is this node's own
 // earlier life or has said that it counts on nothing.
-func TestFreshControllerVotes(t *testing.T) {
+func TestVotesDuringStartupWait(t *testing.T) {
 	asleep := func(holder string) *State {
-		cfg := alone().cfg
+		cfg := newSingleController().cfg
 		cfg.Self, cfg.Peers = "n0", []string{"n1", "n2"}
 		s := New(cfg, 0)
 		s.loaded, s.hasContact = true, true
@@ -235,26 +235,26 @@
 	}
 }
 
-// TestUsersGoFirst: however much the leader has to write, what a user waits for
+// TestUserWritesGoFirst: however much the leader has to write, what a user waits for
 // is in the next transaction.
-func TestUsersGoFirst(t *testing.T) {
-	s := alone()
+func TestUserWritesGoFirst(t *testing.T) {
+	s := newSingleController()
 	s.loaded, s.hasContact = true, true
 	for i := range 40 {
 		s.queueWrite(&write{change: Change{Key: prefixPages + string(rune('a'+i)), Value: mustMarshal(i)}, class: classBitmap, deadline: time.Hour, done: func(outcome) {}})
 	}
 	s.queueWrite(&write{change: Change{Key: prefixJobs + "req-000001", Value: mustMarshal(1)}, deadline: time.Hour, done: func(outcome) {}})
-	c, ok := storeCall(s.Step(time.Second, Tick{}), StoreTxn)
+	c, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreTxn)
 	if !ok || c.Changes[0].Key != prefixJobs+"req-000001" {
 		t.Errorf("the first transaction (%v) begins with %+v", ok, c.Changes)
 	}
 }
 
-// TestLateMessagesOfAnEarlierLife: what was said to or by a process before it
+// TestMessagesOfPreviousIncarnationIgnored: what was said to or by a process before it
 // started anew may be delivered minutes later. Its terms and questions may have
 // the same numbers as those of now, its clock showed another time.
-func TestLateMessagesOfAnEarlierLife(t *testing.T) {
-	cfg := alone().cfg
+func TestMessagesOfPreviousIncarnationIgnored(t *testing.T) {
+	cfg := newSingleController().cfg
 	cfg.Self, cfg.Peers, cfg.Incarnation = "n0", []string{"n1", "n2"}, 7
 	from := func(name string, m PeerMsg) PeerIn { return PeerIn{From: name, Msg: m} }
 
@@ -305,18 +305,18 @@
 	}
 }
 
-// TestWorkersFindTheNextController: after a crash workers come to the successor
+// TestUnresponsiveMarkLeavesTimeForSuccessor: after a crash workers come to the successor
 // within five seconds. Marked as silent before that, each had to wait for two
 // writes of its page, and on a day of crashes at short reports half as many
 // tasks again were killed by their lease.
-func TestWorkersFindTheNextController(t *testing.T) {
+func TestUnresponsiveMarkLeavesTimeForSuccessor(t *testing.T) {
 	for _, c := range []struct{ report, want time.Duration }{
 		{1500 * time.Millisecond, 3 * time.Second}, // two reports, where a lease is short
 		{2500 * time.Millisecond, 5 * time.Second}, // as long as a worker needs
 		{6 * time.Second, 9 * time.Second},         // a report and a half
 		{3500 * time.Millisecond, 5250 * time.Millisecond},
 	} {
-		cfg := alone().cfg
+		cfg := newSingleController().cfg
 		cfg.ReportInterval, cfg.Lease, cfg.MaxClockSkew = c.report, 6*c.report, time.Second
 		s := New(cfg, 0)
 		s.leadership, s.pages = election.NewLeadership(s.electionConfig, 0, 1, 0), map[int]*registryPage{}
@@ -336,23 +336,23 @@
 	}
 }
 
-// TestSwampedNodeSaysSoAtOnce: a submission that couldn't be written before it
+// TestFullWriteQueueRefusesAtOnce: a submission that couldn't be written before it
 // is given up is refused when it comes, not when its time is over.
-func TestSwampedNodeSaysSoAtOnce(t *testing.T) {
-	s := alone()
+func TestFullWriteQueueRefusesAtOnce(t *testing.T) {
+	s := newSingleController()
 	s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 	s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	s.typeList = []model.MachineType{*s.types["small"]}
 	s.txnInFlight = true // the last transaction is still under way
 	taken := 0
 	for i := range 500 {
-		j := model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Kind: model.Batch, Tasks: 1, CPUs: 1, MemoryGB: 1}
+		j := model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Kind: model.KindBatch, Tasks: 1, CPUs: 1, MemoryGB: 1}
 		for _, e := range s.Step(time.Second, Submit{RequestID: uint64(i), Job: j}) {
 			if r, ok := e.(Reply); ok {
 				if r.Status != 503 || r.RetryAfter < 1 {
 					t.Fatalf("answered %+v", r)
 				}
-				if can := float64(s.writeRate.Limit()) * userWait.Seconds(); float64(taken) < can {
+				if can := float64(s.writeRate.Limit()) * userRequestTimeout.Seconds(); float64(taken) < can {
 					t.Errorf("refused with %d waiting, though %.0f can be written in time", taken, can)
 				}
 				return
@@ -363,13 +363,13 @@
 	t.Error("500 submissions wait for a state service that takes 50 changes a second")
 }
 
-// TestOnlyAKeyThatIsSetCounts: a leader whose key was lost while promises
+// TestLeaderKeyCountsOnlyOnceWritten: a leader whose key was lost while promises
 // carried it sets it again. Where that transaction had no answer or was refused,
 // it kept the new lease up all the same and took it for the key, with which it
 // would have acted beside a successor.
-func TestOnlyAKeyThatIsSetCounts(t *testing.T) {
+func TestLeaderKeyCountsOnlyOnceWritten(t *testing.T) {
 	for _, status := range []int{0, 409, 503} {
-		s := alone()
+		s := newSingleController()
 		s.loaded, s.hasContact = true, true
 		s.leadership = election.NewLeadership(s.electionConfig, 0, 4, 0)
 		s.term, s.termModRevision, s.leaseID, s.electedAt, s.caughtUp = 4, 40, 7, 1, true
@@ -379,7 +379,7 @@
 		s.recreateKey()
 		answer := func(op StoreOp, d StoreResult) {
 			t.Helper()
-			c, ok := storeCall(s.effects, op)
+			c, ok := findStoreCall(s.effects, op)
 			if !ok {
 				t.Fatalf("status %d: no call of %s", status, op)
 			}
@@ -390,7 +390,7 @@
 		answer(StoreLease, StoreResult{Status: 200, Lease: 9})
 		answer(StoreTxn, StoreResult{Status: status})
 		s.renewKey()
-		if c, _ := storeCall(s.effects, StoreRenew); c.Lease != 7 {
+		if c, _ := findStoreCall(s.effects, StoreRenew); c.Lease != 7 {
 			t.Errorf("status %d: lease %d is kept up, though no key hangs on it", status, c.Lease)
 		}
 		if s.leadership.KeyValidUntil() != 0 {
@@ -399,11 +399,11 @@
 	}
 }
 
-// TestBackoffEnds: whatever fails, nobody waits longer than a lease for it: a
+// TestBackoffBoundedByLease: whatever fails, nobody waits longer than a lease for it: a
 // job whose tasks failed together on one machine waited for minutes beside
 // others with room.
-func TestBackoffEnds(t *testing.T) {
-	s := alone()
+func TestBackoffBoundedByLease(t *testing.T) {
+	s := newSingleController()
 	s.cfg.ReportInterval, s.cfg.Lease = 6*time.Second, 31*time.Second
 	for n, want := range map[int]time.Duration{1: 6, 2: 12, 3: 24, 4: 31, 40: 31} {
 		if got := s.backoff(n); got != want*time.Second {
@@ -426,10 +426,10 @@
 		{10, 26, 30, true},
 		{26, 26, 30, false}, // this life has just read of it
 	} {
-		s := alone()
+		s := newSingleController()
 		at := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 		s.now, s.electedAt = at(c.now), at(c.elected)
-		j := &job{Job: model.Job{ID: "req-000001"}, phase: model.PhaseAborted, overAt: at(c.seen)}
+		j := &job{Job: model.Job{ID: "req-000001"}, phase: model.PhaseAborted, finalSeenAt: at(c.seen)}
 		s.jobs[j.ID] = j
 		bound, orphaned := s.ensureMachine("n-1"), s.ensureMachine("n-2")
 		bound.tasks["req-000001/0"] = &task{job: j}
@@ -442,14 +442,14 @@
 	}
 }
 
-// TestGangAttempts: tasks of different attempts never find each other, so a
+// TestGangAttemptsAreNotMixed: tasks of different attempts never find each other, so a
 // leader that finds both stops them; and a machine on which a task of the
 // attempt has ended would take another start of it for a repeat.
-func TestGangAttempts(t *testing.T) {
-	s := alone()
+func TestGangAttemptsAreNotMixed(t *testing.T) {
+	s := newSingleController()
 	s.loaded, s.hasContact, s.caughtUp = true, true, true
-	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
-	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Gang}}), ModRevision: 5})
+	s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
+	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.KindGang}}), ModRevision: 5})
 	j := s.jobs["req-000001"]
 	shows := func(host string, index int, attempt uint64, state, cause string) *machine {
 		m := s.ensureMachine(host)
@@ -459,28 +459,28 @@
 	}
 	a := shows("n-1", 0, 7, model.TaskGathering, "")
 	b := shows("n-2", 1, 7, model.TaskGathering, "")
-	if j.gang.aborting || !s.gangReady(j) || !s.allowed(j, a) || !s.allowed(j, b) {
+	if j.gang.aborting || !s.isGangSchedulable(j) || !s.allowed(j, a) || !s.allowed(j, b) {
 		t.Fatalf("two tasks of one attempt wait: %+v", j.gang)
 	}
-	shows("n-1", 0, 7, model.TaskExited, model.CauseNoRoom)
-	if s.allowed(j, a) || !s.allowed(j, b) || !s.gangReady(j) {
-		t.Errorf("after a refusal by n-1: allowed there %v, on n-2 %v, a replacement may go %v", s.allowed(j, a), s.allowed(j, b), s.gangReady(j))
+	shows("n-1", 0, 7, model.TaskExited, model.CauseNoCapacity)
+	if s.allowed(j, a) || !s.allowed(j, b) || !s.isGangSchedulable(j) {
+		t.Errorf("after a refusal by n-1: allowed there %v, on n-2 %v, a replacement may go %v", s.allowed(j, a), s.allowed(j, b), s.isGangSchedulable(j))
 	}
 	shows("n-3", 2, 9, model.TaskGathering, "")
 	for i, x := range j.tasks {
-		if !x.killing {
+		if !x.stopping {
 			t.Errorf("task %d of attempt %d goes on beside another attempt", i, x.attempt)
 		}
 	}
-	if s.gangReady(j) {
+	if s.isGangSchedulable(j) {
 		t.Error("tasks are placed while both attempts are being ended")
 	}
 }
 
-// TestNewLeaderLearnsAges: a new leader doesn't know when machines were rented.
+// TestNewLeaderLearnsRentalTimes: a new leader doesn't know when machines were rented.
 // The list tells, and an idle one goes back without another minimum charge.
-func TestNewLeaderLearnsAges(t *testing.T) {
-	s := alone()
+func TestNewLeaderLearnsRentalTimes(t *testing.T) {
+	s := newSingleController()
 	s.types["small"] = &model.MachineType{Name: "small", BootS: 10}
 	m := s.ensureMachine("n-1")
 	s.describeMachine(m, "e", "small", "a", false)
@@ -489,11 +489,11 @@
 	if s.isIdleLongEnough(m) {
 		t.Error("given back before it is known that its minimum charge is used up")
 	}
-	s.applyListedMachine(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 70})
+	s.applyListedMachine(model.ListedMachine{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 70})
 	if !s.isIdleLongEnough(m) {
 		t.Error("kept though the cloud says that it was rented 70 s ago")
 	}
-	s.applyListedMachine(model.Listed{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 20})
+	s.applyListedMachine(model.ListedMachine{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 20})
 	if !s.isIdleLongEnough(m) {
 		t.Error("an older list made it younger")
 	}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -26,14 +26,14 @@
 func (s *State) demands() []fleet.Demand {
 	var wants []fleet.Demand
 	for _, j := range s.waitingJobs() {
-		if s.now < j.gang.rentAt {
+		if s.now < j.gang.nextRentalAt {
 			continue
 		}
-		w := s.demandFor(j, j.waiting())
+		w := s.demandFor(j, j.waitingTasks())
 		w.CanWait = !s.isUrgent(j)
 		wants = append(wants, w)
 	}
-	if j := s.serviceNeed(); j != nil && s.cfg.SpareServices > 0 {
+	if j := s.largestService(); j != nil && s.cfg.SpareServices > 0 {
 		spare := &job{Job: j.Job}
 		spare.Spread, spare.Zone = false, ""
 		wants = append(wants, s.demandFor(spare, s.cfg.SpareServices))
@@ -57,7 +57,7 @@
 		}
 		c := fleet.ExpectedCapacity{Type: m.typeName, Zone: m.zone, Spot: m.spot, Free: m.view.Capacity}
 		if m.hasReported {
-			if m.reachability.unreachable || s.now-m.lastHeardAt >= s.silence() {
+			if m.reachability.unreachable || s.now-m.lastHeardAt >= s.maxReportGap() {
 				continue // perhaps gone: not to be counted on
 			}
 			if c.Free = s.freeAt(m, horizon); c.Free.CPUs <= 0 || c.Free.MemoryGB <= 0 {
@@ -75,7 +75,7 @@
 	s.refreshView(m)
 	free := m.view.Free
 	for _, r := range m.view.Running {
-		if r.End >= at {
+		if r.EndAt >= at {
 			break
 		}
 		free = free.Add(r.Need)
@@ -85,29 +85,29 @@
 
 // jobAge is how long ago j was submitted.
 func (s *State) jobAge(j *job) time.Duration {
-	if j.at == 0 || s.wallMs < j.at {
+	if j.submittedAt == 0 || s.wallMs < j.submittedAt {
 		return 0
 	}
-	return time.Duration(s.wallMs-j.at) * time.Millisecond
+	return time.Duration(s.wallMs-j.submittedAt) * time.Millisecond
 }
 
 // isUrgent says whether j can't wait any longer for room on the machines
 // there are, or for cheap ones: part of the time that its class leaves beyond
 // boot, fetch and run has passed.
 func (s *State) isUrgent(j *job) bool {
-	if j.Kind != model.Batch {
+	if j.Kind != model.KindBatch {
 		return true
 	}
 	boot, rate := 0.0, 0.0
 	for i := range s.typeList {
 		t := &s.typeList[i]
-		if t.Fits(&j.Job) && (boot == 0 || t.BootS < boot) {
-			boot, rate = t.BootS, t.FetchRate
+		if t.FitsTask(&j.Job) && (boot == 0 || t.BootS < boot) {
+			boot, rate = t.BootS, t.FetchGBPerS
 		}
 	}
 	// Estimates and boot times are often exceeded by half.
 	ready := 1.5*boot + j.ImageGB/max(rate, 0.001)
-	spare := s.completionTarget(j) - time.Duration((ready+1.25*j.Estimate)*float64(time.Second))
+	spare := s.completionTarget(j) - time.Duration((ready+1.25*j.EstimateS)*float64(time.Second))
 	if start := s.cfg.Goals[j.Class].StartWithin; start > 0 {
 		spare = min(spare, start-time.Duration(ready*float64(time.Second)))
 	}
@@ -120,20 +120,20 @@
 	switch {
 	case g.FinishWithin > 0:
 		return g.FinishWithin
-	case g.DueFactor > 0 && j.Due != nil:
-		return time.Duration(g.DueFactor * *j.Due * float64(time.Second))
-	case j.Due != nil:
-		return time.Duration(*j.Due * float64(time.Second))
+	case g.DueFactor > 0 && j.DueS != nil:
+		return time.Duration(g.DueFactor * *j.DueS * float64(time.Second))
+	case j.DueS != nil:
+		return time.Duration(*j.DueS * float64(time.Second))
 	}
 	return s.cfg.CancelWithin
 }
 
 func (s *State) demandFor(j *job, n int) fleet.Demand {
 	w := fleet.Demand{Job: &j.Job, Count: n, Need: j.need()}
-	w.OneZone, w.AllOrNothing = j.OneZone, j.Kind == model.Gang
+	w.OneZone, w.AllOrNothing = j.OneZone, j.Kind == model.KindGang
 	if w.OneZone && len(j.tasks) > 0 {
 		bound := j.Job
-		for zone, n := range j.zones {
+		for zone, n := range j.tasksByZone {
 			if n > 0 {
 				bound.Zone = zone
 			}
@@ -142,7 +142,7 @@
 	}
 	if j.Spread {
 		w.ZoneAllowance = func(zone string) int {
-			return j.ZoneCap() - j.zones[zone]
+			return j.MaxTasksPerZone() - j.tasksByZone[zone]
 		}
 	}
 	return w
@@ -151,7 +151,7 @@
 func (s *State) waitingJobs() []*job {
 	var queue []*job
 	for _, j := range s.active {
-		if j.waiting() > 0 {
+		if j.waitingTasks() > 0 {
 			queue = append(queue, j)
 		}
 	}
@@ -169,7 +169,7 @@
 	var out []fleet.Offer
 	for i := range s.typeList {
 		t := s.types[s.typeList[i].Name]
-		for _, zone := range t.ZonesAvail {
+		for _, zone := range t.Zones {
 			if s.zones[zone].unreachable {
 				continue
 			}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -10,31 +10,31 @@
 
 // dispatchState is what a leader keeps from one round of decisions to the next.
 type dispatchState struct {
-	round     *sched.Round
-	attempts  uint64           // numbers those of this term
-	dirty     bool             // something has changed that a round may use
-	cutShort  int              // rounds that ran out of budget
-	views     []*sched.Machine // buffer of a round
-	paths     map[sched.Path]int
-	teams     map[string]sched.Resources // what each team's tasks take
-	nextRound time.Duration              // no round of decisions before
-	idleRound time.Duration              // a round for time's sake alone; not before
-	drainAt   time.Duration
-	countsAt  time.Duration
+	dispatcher       *sched.Dispatcher
+	attemptCounter   uint64           // numbers those of this term
+	dispatchNeeded   bool             // something has changed that a round may use
+	budgetOverruns   int              // rounds that ran out of budget
+	viewBuffer       []*sched.Machine // buffer of a round
+	placementsByPath map[sched.Path]int
+	teamUsage        map[string]sched.Resources // what each team's tasks take
+	nextRoundAt      time.Duration              // no round of decisions before
+	nextTimedRoundAt time.Duration              // a round for time's sake alone; not before
+	nextDrainAt      time.Duration
+	nextCountsAt     time.Duration
 }
 
-// waiting says whether any job wants a machine.
-func (s *State) waiting() bool {
+// hasWaitingTasks says whether any job wants a machine.
+func (s *State) hasWaitingTasks() bool {
 	for _, j := range s.active {
-		if j.waiting() > 0 {
+		if j.waitingTasks() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// schedulable says whether tasks of j may start now.
-func (s *State) schedulable(j *job) bool {
+// isSchedulable says whether tasks of j may start now.
+func (s *State) isSchedulable(j *job) bool {
 	if s.now < j.retryAt {
 		return false
 	}
@@ -54,20 +54,20 @@
 
 // dispatch makes a round of decisions and sends what it decided.
 func (s *State) dispatch() {
-	s.dirty = false
+	s.dispatchNeeded = false
 	env := &roundEnv{s: s, elapsed: func() time.Duration { return 0 }}
 	if s.cfg.Stopwatch != nil {
 		env.elapsed = s.cfg.Stopwatch()
 	}
-	queue := s.queueView()
+	queue := s.buildQueue()
 	if len(queue) > 0 {
-		s.decide(queue, env)
+		s.runRound(queue, env)
 	}
 	// A round that took long is followed by as much time for everything else:
 	// reports and renewals must not starve behind decisions.
-	s.nextRound = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
+	s.nextRoundAt = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
 	s.answerReports()
-	for _, m := range env.touched {
+	for _, m := range env.changedMachines {
 		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
 			break // the rest with the next reports and ticks: sockets are few
 		}
@@ -81,59 +81,59 @@
 // worker's report interval.
 const roundsPerReport = 24
 
-// decide runs the dispatch rule and what follows it for the jobs that wait.
-func (s *State) decide(queue []*job, env *roundEnv) {
+// runRound runs the dispatch rule and what follows it for the jobs that wait.
+func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
-		entries[i] = j.entry
+		entries[i] = j.queueEntry
 	}
-	env.views = s.views[:0]
+	env.views = s.viewBuffer[:0]
 	for _, m := range s.machinesByName {
-		if s.usable(m) {
+		if s.isUsable(m) {
 			s.refreshView(m)
 			env.views = append(env.views, &m.view)
-		} else if len(m.view.Local) > 0 {
-			m.view.Local = nil // back to the global queue
+		} else if len(m.view.LocalQueue) > 0 {
+			m.view.LocalQueue = nil // back to the global queue
 		}
 	}
-	s.views = env.views
+	s.viewBuffer = env.views
 	// Local queues hold tasks that are not in the global count; drop entries
 	// of jobs that no longer want them.
 	for _, v := range env.views {
-		if len(v.Local) == 0 {
+		if len(v.LocalQueue) == 0 {
 			continue
 		}
-		kept := v.Local[:0]
-		for _, q := range v.Local {
-			if q.Job.Ref.(*job).entry == q.Job && q.Job.Waiting > 0 {
+		kept := v.LocalQueue[:0]
+		for _, q := range v.LocalQueue {
+			if q.Job.Ref.(*job).queueEntry == q.Job && q.Job.Waiting > 0 {
 				q.Job.Waiting--
 				kept = append(kept, q)
 			}
 		}
-		v.Local = kept
+		v.LocalQueue = kept
 	}
-	held := s.stopForHits(queue, env)
-	whole := s.round.Run(s.now, entries, env.views, env)
+	held := s.preemptForHits(queue, env)
+	whole := s.dispatcher.RunRound(s.now, entries, env.views, env)
 	for j, n := range held {
-		j.entry.Waiting += n
+		j.queueEntry.Waiting += n
 	}
 	if !whole {
-		s.dirty = true // goes on where it stopped
-		if s.cutShort++; s.cutShort%4 != 0 {
+		s.dispatchNeeded = true // goes on where it stopped
+		if s.budgetOverruns++; s.budgetOverruns%4 != 0 {
 			return
 		}
 		// Now and then what follows the rule gets its turn all the same.
 	}
-	s.makeRoom(queue, env)
-	if s.now >= s.drainAt {
-		s.drainAt = s.now + s.cfg.ReportInterval/4
-		s.drainFor(queue, env)
+	s.preemptForQueue(queue, env)
+	if s.now >= s.nextDrainAt {
+		s.nextDrainAt = s.now + s.cfg.ReportInterval/4
+		s.drainMachines(queue, env)
 	}
 }
 
-// queueView lists the jobs with waiting tasks, most urgent first and then by
+// buildQueue lists the jobs with waiting tasks, most urgent first and then by
 // arrival.
-func (s *State) queueView() []*job {
+func (s *State) buildQueue() []*job {
 	if !s.takeoverComplete {
 		s.unaccountedFor = s.unaccountedFor[:0]
 		for _, m := range s.machinesByName {
@@ -144,64 +144,64 @@
 	}
 	var queue []*job
 	for _, j := range s.active {
-		if j.entry != nil {
-			j.entry.Waiting = 0
+		if j.queueEntry != nil {
+			j.queueEntry.Waiting = 0
 		}
-		n := j.waiting()
-		if n == 0 || !s.schedulable(j) || j.Kind == model.Gang && !s.gangReady(j) {
+		n := j.waitingTasks()
+		if n == 0 || !s.isSchedulable(j) || j.Kind == model.KindGang && !s.isGangSchedulable(j) {
 			continue
 		}
-		if j.entry == nil {
-			j.entry = &sched.Job{
+		if j.queueEntry == nil {
+			j.queueEntry = &sched.Job{
 				ID: j.ID, Rank: queueRank(j), Arrival: j.arrival, Ref: j,
 				Need:  j.need(),
 				Image: j.Image, ImageGB: j.ImageGB,
-				Estimate: time.Duration(j.Estimate * float64(time.Second)),
-				Endless:  j.Kind == model.Service,
-				Gang:     j.Kind == model.Gang,
-				OneZone:  j.OneZone,
+				Estimate:  time.Duration(j.EstimateS * float64(time.Second)),
+				IsService: j.Kind == model.KindService,
+				IsGang:    j.Kind == model.KindGang,
+				OneZone:   j.OneZone,
 			}
 		}
-		j.entry.Waiting = n
-		j.entry.Steady = s.steady(j)
+		j.queueEntry.Waiting = n
+		j.queueEntry.RestartMissesGoal = s.restartMissesGoal(j)
 		// By then machines that were rented for it would be there. Kept free from
 		// the start, they cost other gangs their starts in time.
-		j.entry.Overdue = j.Kind == model.Gang && s.jobAge(j) > 2*s.shortestBoot()
-		j.entry.Rank = queueRank(j)
-		if s.unbegun(j) {
-			j.entry.Rank, j.entry.Waiting = -1, 1
-			j.entry.Skips = max(j.entry.Skips, s.cfg.SkipLimit)
+		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBoot()
+		j.queueEntry.Rank = queueRank(j)
+		if s.isStarved(j) {
+			j.queueEntry.Rank, j.queueEntry.Waiting = -1, 1
+			j.queueEntry.Skips = max(j.queueEntry.Skips, s.cfg.SkipLimit)
 		}
 		queue = append(queue, j)
 	}
 	sort.Slice(queue, func(a, b int) bool {
-		if queue[a].entry.Rank != queue[b].entry.Rank {
-			return queue[a].entry.Rank < queue[b].entry.Rank
+		if queue[a].queueEntry.Rank != queue[b].queueEntry.Rank {
+			return queue[a].queueEntry.Rank < queue[b].queueEntry.Rank
 		}
 		return queue[a].arrival < queue[b].arrival
 	})
 	return queue
 }
 
-// steady says whether a task of j that has to begin anew halfway would miss
+// restartMissesGoal says whether a task of j that has to begin anew halfway would miss
 // what its class expects.
-func (s *State) steady(j *job) bool {
-	if j.Kind != model.Batch || j.Checkpoint > 0 || s.cfg.Goals[j.Class] == (Goal{}) {
+func (s *State) restartMissesGoal(j *job) bool {
+	if j.Kind != model.KindBatch || j.CheckpointEveryS > 0 || s.cfg.Goals[j.Class] == (Goal{}) {
 		return false
 	}
 	// Estimates are often too low.
-	return s.jobAge(j)+time.Duration(2.5*j.Estimate*float64(time.Second)) > s.completionTarget(j)
+	return s.jobAge(j)+time.Duration(2.5*j.EstimateS*float64(time.Second)) > s.completionTarget(j)
 }
 
-// beginWithin is in what time every job must have begun (PROTOCOL, as the
+// maxFirstStartDelay is in what time every job must have begun (PROTOCOL, as the
 // operators added to it).
-const beginWithin = 4 * time.Minute
+const maxFirstStartDelay = 4 * time.Minute
 
-// unbegun says whether j has waited for a third of that without any of its
+// isStarved says whether j has waited for a third of that without any of its
 // tasks having begun. One task then goes before everything else: with more
 // urgent work than machines, a class would otherwise never be served at all.
-func (s *State) unbegun(j *job) bool {
-	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.Gang && s.jobAge(j) > beginWithin/3
+func (s *State) isStarved(j *job) bool {
+	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
 
 // queueRank is a job's place ahead of the order of arrival: only prod work
@@ -210,18 +210,18 @@
 	return j.rank
 }
 
-// shareCounts tells the peers how many tasks run, for display.
-func (s *State) shareCounts() {
-	if s.now < s.countsAt {
+// sendRunningCounts tells the peers how many tasks run, for display.
+func (s *State) sendRunningCounts() {
+	if s.now < s.nextCountsAt {
 		return
 	}
-	s.countsAt = s.now + time.Second
+	s.nextCountsAt = s.now + time.Second
 	counts := make(map[string]int, len(s.active))
 	for id, j := range s.active {
 		if len(counts) >= 1000 {
 			break // for display only; a frame between controllers is bounded
 		}
-		counts[id] = j.liveTasks()
+		counts[id] = j.countRunning()
 	}
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgRunningCounts, Counts: counts}})
--- a/internal/core/externalcalls.go
+++ b/internal/core/externalcalls.go
@@ -40,7 +40,7 @@
 	Err    string
 	Types  []model.MachineType
 	Hosts  []string
-	Listed []model.Listed
+	Listed []model.ListedMachine
 	More   bool
 }
 
--- a/internal/core/forward.go
+++ b/internal/core/forward.go
@@ -43,20 +43,20 @@
 		if !p.reachesStore || s.now-p.heardAt > s.electionConfig.PromiseDuration {
 			continue
 		}
-		s.users.askSeq++
-		s.asks[s.users.askSeq] = &forwardedRequest{o, s.now + userWait}
-		s.emit(PeerOut{name, PeerMsg{Kind: MsgForward, Ask: s.users.askSeq, Verb: verb, Key: id, Value: value, Wall: wall}})
+		s.userRequests.forwardSeq++
+		s.forwarded[s.userRequests.forwardSeq] = &forwardedRequest{o, s.now + userRequestTimeout}
+		s.emit(PeerOut{name, PeerMsg{Kind: MsgForward, Ask: s.userRequests.forwardSeq, Verb: verb, Key: id, Value: value, Wall: wall}})
 		return true
 	}
 	return false
 }
 
 func (s *State) expireForwards() {
-	for _, id := range sortedKeys(s.asks) {
-		a := s.asks[id]
+	for _, id := range sortedKeys(s.forwarded) {
+		a := s.forwarded[id]
 		if s.now >= a.deadline {
-			delete(s.asks, id)
-			s.later(a.requester, "no answer from a peer")
+			delete(s.forwarded, id)
+			s.replyRetryLater(a.requester, "no answer from a peer")
 		}
 	}
 }
@@ -68,22 +68,22 @@
 	case "submit":
 		var spec model.Job
 		if err := json.Unmarshal(m.Value, &spec); err != nil {
-			s.later(o, "garbled")
+			s.replyRetryLater(o, "garbled")
 			return
 		}
 		s.submit(o, spec, m.Wall)
 	case "poll":
 		s.poll(o, m.Key)
 	case "withdraw":
-		s.withdraw(o, m.Key)
+		s.cancel(o, m.Key)
 	}
 }
 
 func (s *State) handleForwardReply(m PeerMsg) {
-	a := s.asks[m.Ask]
+	a := s.forwarded[m.Ask]
 	if a == nil {
 		return
 	}
-	delete(s.asks, m.Ask)
-	s.answer(a.requester, m.Status, json.RawMessage(m.Value), m.Retry)
+	delete(s.forwarded, m.Ask)
+	s.replyToUser(a.requester, m.Status, json.RawMessage(m.Value), m.Retry)
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -12,45 +12,45 @@
 
 // gangState is what a leader knows of gangs besides each one.
 type gangState struct {
-	gangsAt   time.Duration       // attempts are looked through again; not before
-	gangsSeen map[string]seenGang // the largest lately, by class
+	nextGangCheckAt time.Duration         // attempts are looked through again; not before
+	recentGangs     map[string]recentGang // the largest lately, by class
 }
 
-// gang is what a leader knows of the attempt that is on machines, or last was.
-type gang struct {
+// gangStatus is what a leader knows of the attempt that is on machines, or last was.
+type gangStatus struct {
 	attempt        uint64
-	began          bool          // its tasks run, or ran: no other may take a lost one's place
+	started        bool          // its tasks run, or ran: no other may take a lost one's place
 	gatheringSince time.Duration // when one of them was first seen to wait for the others; 0: none
 	aborting       bool          // it is being ended; the next attempt begins when all of it are gone
-	// excluded are the machines on which a task of this attempt has ended: they
+	// excludedHosts are the machines on which a task of this attempt has ended: they
 	// would take another start of it for a repeat.
-	excluded map[string]bool
+	excludedHosts map[string]bool
 
 	// Of a gang that waits: whether machines were rented for it since it last
 	// found that the cloud doesn't give enough, how often that was, and when they
 	// are rented for it again.
-	rented     bool
-	rentPauses int
-	rentAt     time.Duration
-	preemptAt  time.Duration // room is looked for by stopping others' work; not before
+	machinesRented   bool
+	rentPauses       int
+	nextRentalAt     time.Duration
+	nextPreemptionAt time.Duration // room is looked for by stopping others' work; not before
 }
 
-// gangReady says whether tasks of j may be placed now: all of them, or those
+// isGangSchedulable says whether tasks of j may be placed now: all of them, or those
 // that are missing of a gang that still waits for them. While anything is left
 // of an attempt that began, or is being ended, a task started elsewhere could
 // run twice, or in another zone than the rest.
-func (s *State) gangReady(j *job) bool {
+func (s *State) isGangSchedulable(j *job) bool {
 	if len(j.tasks) == 0 {
 		return true
 	}
-	return !j.gang.aborting && !j.gang.began && s.gangHasTime(j)
+	return !j.gang.aborting && !j.gang.started && s.canCompleteGang(j)
 }
 
-// gangHasTime says whether a gang that waits can still be completed: a task
+// canCompleteGang says whether a gang that waits can still be completed: a task
 // that takes a lost one's place must have its image before the first of the
 // others gives up.
-func (s *State) gangHasTime(j *job) bool {
-	return j.gang.gatheringSince == 0 || s.now+s.longestFetch(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
+func (s *State) canCompleteGang(j *job) bool {
+	return j.gang.gatheringSince == 0 || s.now+s.maxFetchTime(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
 }
 
 // abortGang ends an attempt: all its tasks are stopped by one decision.
@@ -60,76 +60,76 @@
 	}
 	j.gang.aborting = true
 	for _, t := range j.tasks {
-		s.stop(t, grace)
+		s.markStopping(t, grace)
 	}
 }
 
-// gangLost takes that t of a gang is gone.
-func (s *State) gangLost(t *task, why string) {
+// handleLostGangTask takes that t of a gang is gone.
+func (s *State) handleLostGangTask(t *task, why string) {
 	g := &t.job.gang
 	switch {
 	case g.aborting:
-	case g.began, why == model.CausePeers, why == model.CauseAlone:
+	case g.started, why == model.CausePeerLost, why == model.CauseGangIncomplete:
 		// Nothing that the others still do counts: at once they make room.
 		s.abortGang(t.job, 0)
 	case t.attempt == g.attempt:
-		if g.excluded == nil {
-			g.excluded = map[string]bool{}
+		if g.excludedHosts == nil {
+			g.excludedHosts = map[string]bool{}
 		}
-		g.excluded[t.m.host] = true
+		g.excludedHosts[t.machine.host] = true
 	}
 }
 
-// observeGang takes what a report shows of a gang's task.
-func (s *State) observeGang(j *job, p model.TaskReport) {
+// applyGangReport takes what a report shows of a gang's task.
+func (s *State) applyGangReport(j *job, p model.TaskReport) {
 	switch p.State {
 	case model.TaskGathering:
 		if j.gang.gatheringSince == 0 {
 			j.gang.gatheringSince = s.now
 		}
 	case model.TaskRunning, model.TaskSaving:
-		j.gang.began = true
+		j.gang.started = true
 	}
 }
 
-// adoptGang takes over a task that a former leader began. Tasks of different
+// adoptGangTask takes over a task that a former leader began. Tasks of different
 // attempts never find each other.
-func (s *State) adoptGang(t *task) {
+func (s *State) adoptGangTask(t *task) {
 	j := t.job
 	if len(j.tasks) == 1 {
-		j.gang = gang{attempt: t.attempt}
+		j.gang = gangStatus{attempt: t.attempt}
 	} else if t.attempt != j.gang.attempt {
 		s.abortGang(j, 0)
 	}
 	if j.gang.aborting {
-		s.stop(t, 0)
+		s.markStopping(t, 0)
 	}
 }
 
-// reconcileGangs ends attempts that can't be completed: one that lost a task after it
+// abortIncompleteGangs ends attempts that can't be completed: one that lost a task after it
 // began, before this leader knew of it, or that found no place for a missing one
 // in the time for which the others wait. Kept waiting, two such gangs held
 // each other's room half filled.
-func (s *State) reconcileGangs() {
-	if s.now < s.gangsAt {
+func (s *State) abortIncompleteGangs() {
+	if s.now < s.nextGangCheckAt {
 		return
 	}
-	s.gangsAt = s.now + max(s.cfg.ReportInterval/6, time.Second/4)
+	s.nextGangCheckAt = s.now + max(s.cfg.ReportInterval/6, time.Second/4)
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
-		if j.Kind != model.Gang || j.gang.aborting || len(j.tasks) == 0 || j.waiting() == 0 || !s.schedulable(j) {
+		if j.Kind != model.KindGang || j.gang.aborting || len(j.tasks) == 0 || j.waitingTasks() == 0 || !s.isSchedulable(j) {
 			continue
 		}
-		if j.gang.began || !s.gangHasTime(j) {
+		if j.gang.started || !s.canCompleteGang(j) {
 			s.abortGang(j, 0)
 		}
 	}
 }
 
-// seenGang is the largest gang of a class lately.
-type seenGang struct {
-	job *job
-	at  time.Duration
+// recentGang is the largest gang of a class lately.
+type recentGang struct {
+	job    *job
+	seenAt time.Duration
 }
 
 // spareGang is the gang for which room is kept free, or nil: the largest of the
@@ -139,23 +139,23 @@
 	if s.cfg.SpareGangs == 0 || s.cfg.GangWaitTimeout == 0 {
 		return nil
 	}
-	if s.gangsSeen == nil {
-		s.gangsSeen = map[string]seenGang{}
+	if s.recentGangs == nil {
+		s.recentGangs = map[string]recentGang{}
 	}
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
-		if j.Kind != model.Gang || j.gang.rentPauses > 0 {
+		if j.Kind != model.KindGang || j.gang.rentPauses > 0 {
 			continue // not what can't be had even for a gang that waits
 		}
-		if g, ok := s.gangsSeen[j.Class]; !ok || j.Tasks >= g.job.Tasks || s.now-g.at > s.spareTime() {
-			s.gangsSeen[j.Class] = seenGang{j, s.now}
+		if g, ok := s.recentGangs[j.Class]; !ok || j.Tasks >= g.job.Tasks || s.now-g.seenAt > s.spareCapacityTimeout() {
+			s.recentGangs[j.Class] = recentGang{j, s.now}
 		}
 	}
 	var best *job
-	for _, class := range sortedKeys(s.gangsSeen) {
-		g := s.gangsSeen[class]
+	for _, class := range sortedKeys(s.recentGangs) {
+		g := s.recentGangs[class]
 		start := s.cfg.Goals[class].StartWithin
-		if s.now-g.at > s.spareTime() || s.tooLarge(g.job) || start == 0 || start > s.shortestBoot()*3/2 {
+		if s.now-g.seenAt > s.spareCapacityTimeout() || s.exceedsCloudCapacity(g.job) || start == 0 || start > s.shortestBoot()*3/2 {
 			continue
 		}
 		if best == nil || float64(g.job.Tasks)*g.job.CPUs > float64(best.Tasks)*best.CPUs {
@@ -170,16 +170,16 @@
 	return spare
 }
 
-// tooLarge says whether the cloud didn't give enough for a gang that still waits.
-func (s *State) tooLarge(j *job) bool { return !j.final() && j.gang.rentPauses > 0 }
+// exceedsCloudCapacity says whether the cloud didn't give enough for a gang that still waits.
+func (s *State) exceedsCloudCapacity(j *job) bool { return !j.isFinal() && j.gang.rentPauses > 0 }
 
-// spareTime is for how long room is kept free after the last gang: machines that
+// spareCapacityTimeout is for how long room is kept free after the last gang: machines that
 // then have nothing to do go back.
-func (s *State) spareTime() time.Duration { return 2 * s.shortestBoot() }
+func (s *State) spareCapacityTimeout() time.Duration { return 2 * s.shortestBoot() }
 
-// gangRoomOn is for how many tasks of the spare gang m has room.
-func (s *State) gangRoomOn(m *machine, g *job) int {
-	if !s.usable(m) || m.spot && !g.Spot || !g.AllowsType(m.typeName) {
+// gangTasksThatFit is for how many tasks of the spare gang m has room.
+func (s *State) gangTasksThatFit(m *machine, g *job) int {
+	if !s.isUsable(m) || m.spot && !g.Spot || !g.AllowsType(m.typeName) {
 		return 0
 	}
 	need := g.need()
@@ -190,16 +190,16 @@
 	return n
 }
 
-// gangRoom is the zone that has most room for the spare gang, and for how many
+// spareGangCapacity is the zone that has most room for the spare gang, and for how many
 // of its tasks.
-func (s *State) gangRoom() (*job, string, int) {
+func (s *State) spareGangCapacity() (*job, string, int) {
 	g := s.spareGang()
 	if g == nil {
 		return nil, "", 0
 	}
 	room := map[string]int{}
 	for _, m := range s.machinesByName {
-		room[m.zone] += s.gangRoomOn(m, g)
+		room[m.zone] += s.gangTasksThatFit(m, g)
 	}
 	zone, most := "", 0
 	for _, z := range sortedKeys(room) {
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -99,10 +99,10 @@
 		s.finishVerification(m, false)
 		m.resetForTerm()
 	}
-	s.machinesWithOrphans, s.teams, s.commandsInFlight = nil, nil, 0
+	s.machinesWithOrphans, s.teamUsage, s.commandsInFlight = nil, nil, 0
 	s.setWriteRate(false)
 	for _, j := range s.active {
-		j.forgetTerm()
+		j.resetTerm()
 	}
 	s.fleetState = fleetState{}
 }
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -38,8 +38,8 @@
 		}
 		clear(m.orphanedTasks)
 		s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(o *machine) bool { return o == m })
-		m.view.Local = nil
-		s.dirty = true
+		m.view.LocalQueue = nil
+		s.dispatchNeeded = true
 	}
 	s.checkTakeoverComplete()
 }
@@ -69,7 +69,7 @@
 		s.scanNext = 0 // the order has changed meanwhile, or one has begun anew
 		return
 	}
-	s.takeoverComplete, s.dirty = true, true
+	s.takeoverComplete, s.dispatchNeeded = true, true
 	s.log(slog.LevelInfo, "all machines accounted for", "term", s.leadership.Term)
 }
 
@@ -82,7 +82,7 @@
 	limit := s.cfg.CancelWithin * 3 / 5
 	tried := min(limit, 2*s.cfg.ReportInterval)
 	late := func(j *job) bool {
-		return j != nil && j.phase == model.PhaseAborted && s.now-j.overAt > limit && s.now-s.electedAt > tried
+		return j != nil && j.phase == model.PhaseAborted && s.now-j.finalSeenAt > limit && s.now-s.electedAt > tried
 	}
 	for _, t := range m.tasks {
 		if late(t.job) {
@@ -90,7 +90,7 @@
 		}
 	}
 	for name := range m.orphanedTasks {
-		id, _, _ := model.SplitTask(name)
+		id, _, _ := model.ParseTaskName(name)
 		if late(s.jobs[id]) {
 			return true
 		}
@@ -125,7 +125,7 @@
 // with one of three gone, nine machines held up all older jobs of the other two.
 func (s *State) isPresumedLost(m *machine) bool {
 	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
-		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.silence()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
+		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
 // isUnresponsive says whether m is given up before its lease is over: it carries
@@ -139,7 +139,7 @@
 	}
 	services := false
 	for _, t := range m.tasks {
-		services = services || t.job.Kind == model.Service && t.job.rank == 0 || t.job.Kind == model.Gang
+		services = services || t.job.Kind == model.KindService && t.job.rank == 0 || t.job.Kind == model.KindGang
 	}
 	if !services {
 		return false
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -17,7 +17,7 @@
 	}
 	s.zones = s.assessZones()
 	s.countUnaccounted()
-	spare := s.newSpareRoom()
+	spare := s.newSpareCapacity()
 	var hosts []string
 	for _, m := range s.machinesByName {
 		if len(hosts) >= maxReturnBatch {
@@ -27,7 +27,7 @@
 		case returnNow:
 			hosts = append(hosts, m.host)
 		case returnIfSpare:
-			if spare.canSpare(m) {
+			if spare.allowReturn(m) {
 				hosts = append(hosts, m.host)
 			}
 		case machineInUse:
@@ -84,7 +84,7 @@
 		return returnNow
 	case m.slow && m.isEmpty():
 		return returnNow
-	case !m.preexisting && m.reclaimAt == 0 && m.reconciled && m.isEmpty() && len(m.view.Local) == 0:
+	case !m.preexisting && m.reclaimAt == 0 && m.reconciled && m.isEmpty() && len(m.view.LocalQueue) == 0:
 		if s.takeoverComplete && s.isIdleLongEnough(m) {
 			return returnIfSpare
 		}
@@ -132,7 +132,7 @@
 			level = slog.LevelDebug // tried before
 		}
 		m.returning, m.returnLogged = true, true
-		s.dirty = true
+		s.dispatchNeeded = true
 		if s.hasOverdueCancelledTasks(m) {
 			s.log(level, "machine given up for cancelled tasks", "host", h, "silent_for", s.now-m.lastHeardAt, "term", s.leadership.Term)
 		}
@@ -151,7 +151,7 @@
 		// Not done, so the machine is ours as before; held back, it
 		// would stand empty for as long as the cloud is in trouble.
 		m.returning = m.returnUnconfirmed
-		s.dirty = true
+		s.dispatchNeeded = true
 	default:
 		m.returnUnconfirmed = true // perhaps gone at any moment from now
 	}
@@ -191,7 +191,7 @@
 	}
 	s.returnedAt[host] = s.now
 	s.unregister(m)
-	s.dirty = true
+	s.dispatchNeeded = true
 	s.checkTakeoverComplete()
 }
 
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -115,12 +115,12 @@
 		m.machineType = t
 		m.viewStale = true
 		m.view.Capacity = sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-		m.view.Rate = max(t.FetchRate, 0.001)
-		m.view.Price = t.Price
+		m.view.FetchGBPerS = max(t.FetchGBPerS, 0.001)
+		m.view.PricePerHour = t.Price
 		if spot {
-			m.view.Price = t.SpotPrice
+			m.view.PricePerHour = t.SpotPrice
 		}
-		m.view.Images.Size = t.CacheGB
+		m.view.Images.SizeGB = t.CacheGB
 	}
 }
 
@@ -138,7 +138,7 @@
 	// again once counted a machine's lease from a mark of its earlier term that the
 	// state service never had, while another had answered the machine meanwhile.
 	m.page, m.storedUnresponsiveSince = m.storedPage, m.readUnresponsiveSince
-	m.view.Local, m.view.Fetching, m.view.Running = nil, nil, nil
+	m.view.LocalQueue, m.view.Fetching, m.view.Running = nil, nil, nil
 	m.viewStale, m.hasUnsentOrders = true, false
 }
 
@@ -146,11 +146,11 @@
 // tasks is asked, and fenced, by an empty command under the new epoch.
 func (s *State) takeOver() {
 	s.log(slog.LevelInfo, "leading", "term", s.leadership.Term, "jobs", len(s.active), "machines", len(s.machines))
-	s.attempts, s.lastRentalNumber, s.lastReportAt = 0, 0, s.now
+	s.attemptCounter, s.lastRentalNumber, s.lastReportAt = 0, 0, s.now
 	s.takeoverComplete, s.scanNext, s.scanCount = false, 0, 0
-	s.paths = map[sched.Path]int{}
+	s.placementsByPath = map[sched.Path]int{}
 	s.pages, s.nextPageWriteAt, s.nextUnresponsiveCheckAt = map[int]*registryPage{}, 0, 0
-	s.teams, s.machinesWithOrphans, s.pendingReports = map[string]sched.Resources{}, nil, nil
+	s.teamUsage, s.machinesWithOrphans, s.pendingReports = map[string]sched.Resources{}, nil, nil
 	for _, m := range s.machinesByName {
 		if !m.registered {
 			s.removeMachine(m.host)
@@ -170,7 +170,7 @@
 	}
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
-		j.forgetTerm()
+		j.resetTerm()
 		if j.doneCount == j.Tasks {
 			s.finishJob(j)
 		}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -144,7 +144,7 @@
 func (s *State) applyRunningCounts(counts map[string]int) {
 	for id, n := range counts {
 		if j := s.active[id]; j != nil {
-			j.running = n
+			j.reportedRunning = n
 		}
 	}
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -9,71 +9,71 @@
 
 // Making room: work that is stopped or kept off for more urgent work.
 
-// makeRoom stops work of lower priority for prod work and for gangs that find no
+// preemptForQueue stops work of lower priority for prod work and for gangs that find no
 // room, and work that other teams run beyond their guarantee for a team within
 // its own.
-func (s *State) makeRoom(queue []*job, env *roundEnv) {
+func (s *State) preemptForQueue(queue []*job, env *roundEnv) {
 	var used map[string]sched.Resources
 	for _, j := range queue {
-		if j.entry.Waiting == 0 {
+		if j.queueEntry.Waiting == 0 {
 			continue
 		}
 		if used == nil {
-			used = s.teamUse()
+			used = s.usageWithoutStopping()
 		}
-		if !s.mayPreempt(j, used) {
+		if !s.canPreempt(j, used) {
 			continue
 		}
-		if env.Spent() {
-			s.dirty = true
+		if env.BudgetExhausted() {
+			s.dispatchNeeded = true
 			return
 		}
-		if j.Kind == model.Gang {
+		if j.Kind == model.KindGang {
 			s.preemptForGang(j, env, used)
 			continue
 		}
-		if n := j.entry.Waiting - s.roomReserved(j); n > 0 {
+		if n := j.queueEntry.Waiting - s.countReserved(j); n > 0 {
 			s.preemptFor(j, n, func(*machine) bool { return true }, env, used)
 		}
 	}
 }
 
-// mayPreempt says whether other work may be stopped for waiting tasks of j: it
+// canPreempt says whether other work may be stopped for waiting tasks of j: it
 // is prod work, a gang, whose room would never come free all at once by itself,
 // or its next task is within its team's guarantee.
-func (s *State) mayPreempt(j *job, used map[string]sched.Resources) bool {
-	return j.rank == model.Rank(model.Prod) || j.Kind == model.Gang || s.guaranteed(j, 1, used)
+func (s *State) canPreempt(j *job, used map[string]sched.Resources) bool {
+	return j.rank == model.PriorityRank(model.PriorityProd) || j.Kind == model.KindGang || s.isWithinGuarantee(j, 1, used)
 }
 
-// roomReserved counts the machines whose room is kept for j.
-func (s *State) roomReserved(j *job) int {
+// countReserved counts the machines whose room is kept for j.
+func (s *State) countReserved(j *job) int {
 	n := 0
 	for _, m := range s.machinesByName {
-		if s.holdsRoomFor(m, j) {
+		if s.isReservedFor(m, j) {
 			n++
 		}
 	}
 	return n
 }
 
-// holdsRoomFor says whether room that preemption makes on m is kept for j.
-func (s *State) holdsRoomFor(m *machine, j *job) bool {
+// isReservedFor says whether room that preemption makes on m is kept for j.
+func (s *State) isReservedFor(m *machine, j *job) bool {
 	return m.reservedFor == j && !m.draining && s.now < m.reservedUntil
 }
 
-// stopForHits makes room for prod work on machines that hold its image, where
+// preemptForHits makes room for prod work on machines that hold its image, where
 // fetching would take longer than its class has to start. The design compares
 // the wait at a holder with the fetch elsewhere: a holder whose lower work may
 // be stopped has next to no wait. It returns how many tasks of each job are
 // held back from the rule meanwhile.
-func (s *State) stopForHits(queue []*job, env *roundEnv) map[*job]int {
+func (s *State) preemptForHits(queue []*job, env *roundEnv) map[*job]int {
 	held := map[*job]int{}
 	var used map[string]sched.Resources
 	for _, j := range queue {
-		if j.rank != model.Rank(model.Prod) || j.Kind == model.Gang || !s.fetchTooLong(j) {
+		if j.rank != model.PriorityRank(model.PriorityProd) || j.Kind == model.KindGang || !s.isFetchTooLong(j) {
 			continue
 		}
-		if env.Spent() {
+		if env.BudgetExhausted() {
 			break // the rule has to have its turn as well
 		}
 		hits, pending := 0, 0
@@ -82,49 +82,49 @@
 			m := v.Ref.(*machine)
 			switch {
 			case !holds(m) || !s.allowed(j, m):
-			case v.Free.Fits(j.entry.Need):
+			case v.Free.Fits(j.queueEntry.Need):
 				hits++
-			case s.holdsRoomFor(m, j):
+			case s.isReservedFor(m, j):
 				pending++
 			}
 		}
-		n := j.entry.Waiting - hits - pending
+		n := j.queueEntry.Waiting - hits - pending
 		if n > 0 {
 			if used == nil {
-				used = s.teamUse()
+				used = s.usageWithoutStopping()
 			}
 			pending += s.preemptFor(j, n, holds, env, used)
 		}
-		if back := min(pending, j.entry.Waiting); back > 0 {
+		if back := min(pending, j.queueEntry.Waiting); back > 0 {
 			held[j] = back
-			j.entry.Waiting -= back
+			j.queueEntry.Waiting -= back
 		}
 	}
 	return held
 }
 
-// fetchTooLong says whether j, which may still start in the time that its
+// isFetchTooLong says whether j, which may still start in the time that its
 // class has, would miss it by fetching its image. A lost replica has that time
 // anew.
-func (s *State) fetchTooLong(j *job) bool {
+func (s *State) isFetchTooLong(j *job) bool {
 	goal := s.cfg.Goals[j.Class].StartWithin
 	left := goal - s.jobAge(j)
-	if j.lostAt != 0 {
-		left = max(left, j.lostAt+goal-s.now)
+	if j.lastTaskLostAt != 0 {
+		left = max(left, j.lastTaskLostAt+goal-s.now)
 	}
 	if goal == 0 || left <= 0 {
 		return false
 	}
-	return s.longestFetch(j) > left
+	return s.maxFetchTime(j) > left
 }
 
-// longestFetch is how long a fetch of j's image may take where nothing else is
+// maxFetchTime is how long a fetch of j's image may take where nothing else is
 // fetched: up to half as long again as its rate says.
-func (s *State) longestFetch(j *job) time.Duration {
+func (s *State) maxFetchTime(j *job) time.Duration {
 	rate := 0.0
 	for i := range s.typeList {
-		if t := &s.typeList[i]; t.Fits(&j.Job) {
-			rate = max(rate, t.FetchRate)
+		if t := &s.typeList[i]; t.FitsTask(&j.Job) {
+			rate = max(rate, t.FetchGBPerS)
 		}
 	}
 	return time.Duration(1.5 * j.ImageGB / max(rate, 0.001) * float64(time.Second))
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -9,23 +9,23 @@
 	"mulleinfall/internal/sched"
 )
 
-// compareCandidates orders candidates by what would be lost.
-func compareCandidates(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.loss, b.loss), strings.Compare(a.m.host, b.m.host))
+// compareOptions orders candidates by what would be lost.
+func compareOptions(a, b evictionOption) int {
+	return cmp.Or(cmp.Compare(a.lostWork, b.lostWork), strings.Compare(a.machine.host, b.machine.host))
 }
 
-// candidateHeap has the candidate with the least loss in front.
-type candidateHeap []candidate
+// optionHeap has the candidate with the least loss in front.
+type optionHeap []evictionOption
 
-func (h candidateHeap) Len() int           { return len(h) }
-func (h candidateHeap) Less(a, b int) bool { return compareCandidates(h[a], h[b]) < 0 }
-func (h candidateHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h optionHeap) Len() int           { return len(h) }
+func (h optionHeap) Less(a, b int) bool { return compareOptions(h[a], h[b]) < 0 }
+func (h optionHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
-func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
+func (h *optionHeap) Push(x any) { *h = append(*h, x.(evictionOption)) }
 
 // Pop implements heap.Interface.
-func (h *candidateHeap) Pop() any {
+func (h *optionHeap) Pop() any {
 	last := len(*h) - 1
 	c := (*h)[last]
 	*h = (*h)[:last]
@@ -39,8 +39,8 @@
 // gangEviction is a complete choice: with it all waiting tasks of a gang fit.
 type gangEviction struct {
 	eviction
-	candidates []candidate
-	loss       float64
+	options  []evictionOption
+	lostWork float64
 }
 
 // preemptForGang stops other work so that all waiting tasks of a gang fit at
@@ -48,34 +48,34 @@
 // stopped where the gang as a whole still wouldn't fit, and all the room, that
 // which is free already included, is kept until the gang takes it.
 func (s *State) preemptForGang(j *job, env *roundEnv, used map[string]sched.Resources) {
-	n := j.entry.Waiting
-	if s.now < j.gang.preemptAt || s.roomReserved(j) > 0 || !s.withinLimit(j, n) {
+	n := j.queueEntry.Waiting
+	if s.now < j.gang.nextPreemptionAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
 	// Going over the fleet for each gang in each round would take the rounds' time.
-	j.gang.preemptAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
+	j.gang.nextPreemptionAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
 	var best *gangEviction
-	for _, zone := range gangZones(j, env.views) {
-		if env.Spent() {
-			s.dirty = true
+	for _, zone := range candidateZones(j, env.views) {
+		if env.BudgetExhausted() {
+			s.dispatchNeeded = true
 			return
 		}
-		if e := s.evictInZone(j, n, zone, env, used); e != nil && (best == nil || e.loss < best.loss) {
+		if e := s.evictInZone(j, n, zone, env, used); e != nil && (best == nil || e.lostWork < best.lostWork) {
 			best = e
 		}
 	}
 	if best == nil {
 		return
 	}
-	for _, c := range best.candidates {
+	for _, c := range best.options {
 		best.commit(c, env)
 	}
-	maps.Copy(used, best.used)
+	maps.Copy(used, best.teamUsage)
 }
 
-// gangZones lists the zones in which a gang's room is looked for one by one;
+// candidateZones lists the zones in which a gang's room is looked for one by one;
 // "" stands for all of them together.
-func gangZones(j *job, views []*sched.Machine) []string {
+func candidateZones(j *job, views []*sched.Machine) []string {
 	if !j.OneZone {
 		return []string{""}
 	}
@@ -89,37 +89,37 @@
 // evictInZone finds room for n tasks of j in one zone (""; in any), the least
 // loss first, or returns nil if there is none.
 func (s *State) evictInZone(j *job, n int, zone string, env *roundEnv, used map[string]sched.Resources) *gangEviction {
-	e := &gangEviction{eviction: eviction{s: s, job: j, used: maps.Clone(used), wholeGang: s.guaranteed(j, n, used)}}
-	machines := s.machinesFor(j, n, zone, env)
-	var open candidateHeap
+	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(used), gangWithinGuarantee: s.isWithinGuarantee(j, n, used)}}
+	machines := s.eligibleMachines(j, n, zone, env)
+	var open optionHeap
 	for _, m := range machines {
-		if c, ok := e.cheapestOn(m); ok {
+		if c, ok := e.cheapestOption(m); ok {
 			open = append(open, c)
 		}
 	}
 	heap.Init(&open)
 	perZone := map[string]int{}
 	for n > 0 && len(open) > 0 {
-		c := heap.Pop(&open).(candidate)
-		if j.Spread && j.zones[c.m.zone]+perZone[c.m.zone] >= j.ZoneCap() {
+		c := heap.Pop(&open).(evictionOption)
+		if j.Spread && j.tasksByZone[c.machine.zone]+perZone[c.machine.zone] >= j.MaxTasksPerZone() {
 			continue
 		}
 		// Choices made since may have changed what this one costs, or whether
 		// its victims may be stopped at all.
-		now, ok := e.cheapestOn(c.m)
+		now, ok := e.cheapestOption(c.machine)
 		if !ok {
 			continue
 		}
-		if now.loss > c.loss && len(open) > 0 && compareCandidates(now, open[0]) > 0 {
+		if now.lostWork > c.lostWork && len(open) > 0 && compareOptions(now, open[0]) > 0 {
 			heap.Push(&open, now)
 			continue
 		}
-		e.take(now)
-		e.candidates = append(e.candidates, now)
-		e.loss += now.loss
-		perZone[c.m.zone]++
+		e.choose(now)
+		e.options = append(e.options, now)
+		e.lostWork += now.lostWork
+		perZone[c.machine.zone]++
 		n--
-		if next, ok := e.cheapestOn(c.m); ok {
+		if next, ok := e.cheapestOption(c.machine); ok {
 			heap.Push(&open, next)
 		}
 	}
@@ -129,9 +129,9 @@
 	return e
 }
 
-// machinesFor lists the machines in a zone (""; in any) that j may use, or nothing
+// eligibleMachines lists the machines in a zone (""; in any) that j may use, or nothing
 // where all of them empty wouldn't hold n of its tasks.
-func (s *State) machinesFor(j *job, n int, zone string, env *roundEnv) []*machine {
+func (s *State) eligibleMachines(j *job, n int, zone string, env *roundEnv) []*machine {
 	var list []*machine
 	room := 0
 	for _, v := range env.views {
@@ -140,7 +140,7 @@
 			continue
 		}
 		list = append(list, m)
-		room += sched.TasksIn(v.Capacity, j.need())
+		room += sched.TasksThatFit(v.Capacity, j.need())
 	}
 	if room < n {
 		return nil
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -55,7 +55,7 @@
 // is not in it.
 func (s *State) hasMissingStart(m *machine, r *model.Report) bool {
 	for _, t := range m.tasks {
-		if t.state == "" && !t.killing && t.directEpoch == 0 && t.issuedSeq != 0 && r.Seq > t.issuedSeq && t.session == r.Session {
+		if t.state == "" && !t.stopping && t.unconfirmedStartEpoch == 0 && t.startSentSeq != 0 && r.Seq > t.startSentSeq && t.session == r.Session {
 			return true
 		}
 	}
@@ -76,7 +76,7 @@
 		m.reachability.firstUnreachableAt = s.now
 	}
 	s.log(slog.LevelInfo, "machine is unreachable", "host", m.host, "why", why, "term", s.leadership.Term)
-	s.dirty = true
+	s.dispatchNeeded = true
 }
 
 // confirmDelivery ends that when a report shows that a command has arrived.
@@ -84,7 +84,7 @@
 	if m.reachability.unreachable && r.Epoch >= m.reachability.recoveryEpoch && s.now >= m.reachability.earliestRecoveryAt {
 		m.reachability.unreachable = false
 		s.log(slog.LevelInfo, "machine is reachable again", "host", m.host, "term", s.leadership.Term)
-		s.dirty = true
+		s.dispatchNeeded = true
 	}
 }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -236,7 +236,7 @@
 			if r != written {
 				p.dirty = true
 			}
-			s.dirty = true
+			s.dispatchNeeded = true
 			s.answerReports()
 		},
 	})
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -12,10 +12,10 @@
 // counts the machine's lease from its own election and not from its old note: it once
 // took such machines for lost, and what they had ran twice.
 func TestUnwrittenUnresponsiveMark(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	s.cfg.MaxClockSkew = time.Second
 	s.loaded, s.hasContact, s.caughtUp = true, true, true
-	s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
+	s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
 	s.pages = map[int]*registryPage{}
 	s.apply(Item{Key: prefixPages + "1", Value: mustMarshal(map[string]machineRecord{"n-1": {Endpoint: "e", Type: "small", Zone: "a"}}), ModRevision: 5})
 	m := s.machines["n-1"]
@@ -47,7 +47,7 @@
 // TestRegistryPageReadScansItsPageOnly: a page of the roster that is read anew strikes those
 // off that were on it before, without a look at the rest of the fleet.
 func TestRegistryPageReadScansItsPageOnly(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	listed := func(hosts ...string) []byte {
 		page := map[string]machineRecord{}
 		for _, h := range hosts {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -56,11 +56,11 @@
 // cost its price for as long as the gang waits.
 func (s *State) postponeRentals(id string) {
 	j := s.active[id]
-	if j == nil || !j.gang.rented {
+	if j == nil || !j.gang.machinesRented {
 		return // nothing was spent: a machine may be had at any moment
 	}
-	j.gang.rented = false
-	j.gang.rentAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauses)
+	j.gang.machinesRented = false
+	j.gang.nextRentalAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauses)
 	j.gang.rentPauses++
 }
 
@@ -118,7 +118,7 @@
 func (s *State) markGangsRented(gangs []string) {
 	for _, id := range gangs {
 		if j := s.active[id]; j != nil {
-			j.gang.rented = true
+			j.gang.machinesRented = true
 		}
 	}
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -254,10 +254,10 @@
 		s.typesModRevision = it.ModRevision
 		s.loadTypes(it.Value)
 	case strings.HasPrefix(it.Key, prefixJobs):
-		s.jobChanged(strings.TrimPrefix(it.Key, prefixJobs), it)
+		s.applyJobKey(strings.TrimPrefix(it.Key, prefixJobs), it)
 	case strings.HasPrefix(it.Key, prefixProgress):
 		if !it.Removed {
-			s.bitmapChanged(strings.TrimPrefix(it.Key, prefixProgress), it)
+			s.applyBitmapKey(strings.TrimPrefix(it.Key, prefixProgress), it)
 		}
 	case strings.HasPrefix(it.Key, prefixPages):
 		s.applyPage(strings.TrimPrefix(it.Key, prefixPages), it)
--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -56,7 +56,7 @@
 		return orders
 	}
 	for _, o := range orders {
-		if o.Verb != model.Kill || !containsStop(stops, o) {
+		if o.Verb != model.OrderKill || !containsStop(stops, o) {
 			stops = append(stops, o)
 		}
 	}
@@ -68,7 +68,7 @@
 	var stops []model.Order
 	for _, p := range r.Tasks {
 		if p.State != model.TaskExited && s.isJobOfTaskFinal(p.Task) {
-			stops = append(stops, model.Order{Verb: model.Kill, Task: p.Task, Attempt: p.Attempt, Grace: new(float64)})
+			stops = append(stops, model.Order{Verb: model.OrderKill, Task: p.Task, Attempt: p.Attempt, GraceS: new(float64)})
 		}
 	}
 	return stops
@@ -79,13 +79,13 @@
 func (s *State) addStopsForPendingStarts(m *machine, stops []model.Order) []model.Order {
 	var starting []*task
 	for _, t := range m.tasks {
-		if t.killing && t.issued && t.job.final() && !containsStop(stops, t.killOrder()) {
+		if t.stopping && t.startSent && t.job.isFinal() && !containsStop(stops, t.killOrder()) {
 			starting = append(starting, t)
 		}
 	}
 	slices.SortFunc(starting, func(a, b *task) int { return strings.Compare(a.name, b.name) })
 	for _, t := range starting {
-		if t.directEpoch != 0 && s.epoch(m) <= t.directEpoch {
+		if t.unconfirmedStartEpoch != 0 && s.epoch(m) <= t.unconfirmedStartEpoch {
 			s.raiseFence(m)
 		}
 		stops = append(stops, t.killOrder())
@@ -96,15 +96,15 @@
 // containsStop says whether orders stop the attempt that o stops.
 func containsStop(orders []model.Order, o model.Order) bool {
 	return slices.ContainsFunc(orders, func(other model.Order) bool {
-		return other.Verb == model.Kill && other.Task == o.Task && other.Attempt == o.Attempt
+		return other.Verb == model.OrderKill && other.Task == o.Task && other.Attempt == o.Attempt
 	})
 }
 
 // isJobOfTaskFinal says whether a task's job is known to be cancelled or done.
 func (s *State) isJobOfTaskFinal(task string) bool {
-	id, _, _ := model.SplitTask(task)
+	id, _, _ := model.ParseTaskName(task)
 	j := s.jobs[id]
-	return j != nil && j.final()
+	return j != nil && j.isFinal()
 }
 
 // answerReports answers the held reports, but for those whose machine's mark is
@@ -135,12 +135,12 @@
 	for _, p := range r.Tasks {
 		listed[p.Task] = p
 		if len(orders) < maxOrders && s.mayForget(m, p) {
-			orders = append(orders, model.Order{Verb: model.Forget, Task: p.Task, Attempt: p.Attempt})
+			orders = append(orders, model.Order{Verb: model.OrderForget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
 	for _, name := range sortedKeys(m.orphanedTasks) {
 		if len(orders) < maxOrders {
-			orders = append(orders, model.Order{Verb: model.Kill, Task: name, Attempt: m.orphanedTasks[name].Attempt, Grace: new(float64)})
+			orders = append(orders, model.Order{Verb: model.OrderKill, Task: name, Attempt: m.orphanedTasks[name].Attempt, GraceS: new(float64)})
 		}
 	}
 	for _, name := range sortedKeys(m.tasks) {
@@ -151,11 +151,11 @@
 		p, shown := listed[name]
 		shown = shown && p.Attempt == t.attempt
 		switch {
-		case t.killing && shown:
+		case t.stopping && shown:
 			orders = append(orders, t.killOrder())
-		case !t.killing && !shown && m.registered:
-			t.issued, t.issuedSeq = true, r.Seq
-			orders = append(orders, model.Order{Verb: model.Start, Task: name, Attempt: t.attempt})
+		case !t.stopping && !shown && m.registered:
+			t.startSent, t.startSentSeq = true, r.Seq
+			orders = append(orders, model.Order{Verb: model.OrderStart, Task: name, Attempt: t.attempt})
 		}
 	}
 	return orders
@@ -169,10 +169,10 @@
 	if p.State != model.TaskExited || m.commandInFlight || m.unconfirmedEpoch != 0 && m.highestEpoch <= m.unconfirmedEpoch {
 		return false
 	}
-	if t := m.tasks[p.Task]; t != nil && t.attempt == p.Attempt && model.KnownCause(p.Cause) {
+	if t := m.tasks[p.Task]; t != nil && t.attempt == p.Attempt && model.IsKnownCause(p.Cause) {
 		return false
 	}
-	id, i, _ := model.SplitTask(p.Task)
+	id, i, _ := model.ParseTaskName(p.Task)
 	j := s.jobs[id]
-	return p.Cause != model.CauseDone || j == nil || i >= j.Tasks || j.durable(i)
+	return p.Cause != model.CauseDone || j == nil || i >= j.Tasks || j.isDurable(i)
 }
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -25,7 +25,7 @@
 			return &model.Report{Seq: 6, Epoch: s.epochBase()}
 		}, false},
 		{"a start is on its way", func(s *State, m *machine) *model.Report {
-			m.tasks[cancelled] = &task{job: s.jobs["req-000001"], name: cancelled, attempt: 9, m: m, issued: true, directEpoch: s.epoch(m)}
+			m.tasks[cancelled] = &task{job: s.jobs["req-000001"], name: cancelled, attempt: 9, machine: m, startSent: true, unconfirmedStartEpoch: s.epoch(m)}
 			return &model.Report{Seq: 6, Epoch: s.epochBase()}
 		}, true},
 		{"the machine is new to this leader", func(s *State, m *machine) *model.Report {
@@ -45,9 +45,9 @@
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := alone()
+			s := newSingleController()
 			s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
-			s.leadership, s.teams = newLeadership(s), map[string]sched.Resources{}
+			s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
 			s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 			m := s.ensureMachine(host)
 			m.session, m.seq, m.reconciled, m.registered, m.hasReported = 1, 5, true, true, true
@@ -57,10 +57,10 @@
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: cancelled, Attempt: 9, State: model.TaskRunning})
 			}
 			started := s.epoch(m)
-			s.dirty, s.effects = true, nil // so that a new report is answered after a round
+			s.dispatchNeeded, s.effects = true, nil // so that a new report is answered after a round
 			s.handleReport(WorkerReport{RequestID: 1, Report: *r})
 			for _, task := range m.tasks {
-				s.kill(task, 0) // only now is the cancellation learnt
+				s.stopTask(task, 0) // only now is the cancellation learnt
 			}
 			s.answerReports()
 			renewed := false
@@ -114,7 +114,7 @@
 // containsImmediateStop says whether orders stop an attempt of a task at once.
 func containsImmediateStop(orders []model.Order, task string, attempt uint64) bool {
 	for _, o := range orders {
-		if o.Verb == model.Kill && o.Task == task && o.Attempt == attempt && o.Grace != nil && *o.Grace == 0 {
+		if o.Verb == model.OrderKill && o.Task == task && o.Attempt == attempt && o.GraceS != nil && *o.GraceS == 0 {
 			return true
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -69,7 +69,7 @@
 		// from a report alone: after the machine has begun anew, copies from
 		// its earlier life show higher sessions than the present one.
 		s.verifyReport(h)
-	case m.lastHeardAt != 0 && s.now-m.lastHeardAt >= s.silence() && m.endpoint != "":
+	case m.lastHeardAt != 0 && s.now-m.lastHeardAt >= s.maxReportGap() && m.endpoint != "":
 		s.verifyReport(h)
 	case m.leaseExpired && m.session == 0:
 		// Lost before it was ever heard of in this term: only its own word
@@ -127,7 +127,7 @@
 	m.leaseExpired, m.lastReplyAt = false, s.now // its new life has a lease of its own
 	for _, t := range m.tasks {
 		// Answers to reports of the former life died with its connections.
-		t.issuedSeq, t.session = 0, r.Session
+		t.startSentSeq, t.session = 0, r.Session
 	}
 	// Copies from the former life may show the same session and more reports:
 	// from now on only the epoch tells them from news.
@@ -182,7 +182,7 @@
 		s.sendCommand(m, nil, nil) // a new machine is of use as soon as it shows the epoch
 	}
 	m.lastReplyAt = s.now
-	if !s.clearUnresponsiveMark(m) || s.dirty {
+	if !s.clearUnresponsiveMark(m) || s.dispatchNeeded {
 		// Place first, so that what was just freed is filled by this answer,
 		// and together with what other reports free in the same moment.
 		s.pendingReports = append(s.pendingReports, h)
@@ -193,9 +193,9 @@
 
 func (s *State) recordCompletions(r *model.Report) {
 	for _, p := range r.Tasks {
-		id, i, ok := model.SplitTask(p.Task)
+		id, i, ok := model.ParseTaskName(p.Task)
 		if j := s.jobs[id]; ok && j != nil && p.State == model.TaskExited && p.Cause == model.CauseDone {
-			s.finished(j, i)
+			s.markTaskDone(j, i)
 		}
 	}
 }
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -14,10 +14,10 @@
 // has shown the term's epoch.
 func newLeader(t *testing.T) (*State, *job, *machine) {
 	t.Helper()
-	s := alone()
+	s := newSingleController()
 	s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
-	s.leadership, s.teams, s.pages = newLeadership(s), map[string]sched.Resources{}, map[int]*registryPage{}
-	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.Batch}}), ModRevision: 5})
+	s.leadership, s.teamUsage, s.pages = newLeadership(s), map[string]sched.Resources{}, map[int]*registryPage{}
+	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.KindBatch}}), ModRevision: 5})
 	m := s.ensureMachine("n-1")
 	m.endpoint, m.session, m.seq, m.reconciled, m.registered, m.hasReported = "e", 1, 10, true, true, true
 	m.minEpoch = s.epochBase()
@@ -40,7 +40,7 @@
 			}
 			s.nextReadAt = 0
 			s.sendLinearizableRead()
-			c, ok := storeCall(s.effects, StoreWatch)
+			c, ok := findStoreCall(s.effects, StoreWatch)
 			if !ok {
 				t.Fatal("nothing is read")
 			}
@@ -78,9 +78,9 @@
 			gone  bool
 		}{{0, false}, {1, true}} {
 			s, j, m := newLeader(t)
-			x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true, directEpoch: s.epochBase() | 1}
+			x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true, unconfirmedStartEpoch: s.epochBase() | 1}
 			s.bind(x)
-			s.kill(x, 0)
+			s.stopTask(x, 0)
 			s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() | 1 + c.shown}, true)
 			if gone := j.tasks[0] == nil; gone != c.gone {
 				t.Errorf("epoch %d above the command's: counted as gone: %v", c.shown, gone)
@@ -90,7 +90,7 @@
 	t.Run("a leader's writes name its term", func(t *testing.T) {
 		s, _, _ := newLeader(t)
 		s.transact([]*write{{change: Change{Key: prefixPages + "1", Value: mustMarshal(1)}, leaderTerm: 4, done: func(outcome) {}}}, true)
-		c, _ := storeCall(s.effects, StoreTxn)
+		c, _ := findStoreCall(s.effects, StoreTxn)
 		if !slices.Contains(c.Preconditions, Precondition{keyTerm, s.termModRevision}) {
 			t.Errorf("guards %v", c.Preconditions)
 		}
@@ -98,12 +98,12 @@
 	t.Run("a result is forgotten only once it is durable", func(t *testing.T) {
 		s, j, m := newLeader(t)
 		r := &model.Report{Host: "n-1", Session: 1, Seq: 11, Tasks: []model.TaskReport{{Task: "req-000001/0", Attempt: 3, State: model.TaskExited, Cause: model.CauseDone}}}
-		s.finished(j, 0)
+		s.markTaskDone(j, 0)
 		if o := s.ordersFor(m, r); len(o) != 0 {
 			t.Errorf("%v before it is written", o)
 		}
-		j.chunk(0).durable[0] |= 1
-		if o := s.ordersFor(m, r); len(o) != 1 || o[0].Verb != model.Forget {
+		j.chunk(0).durableBits[0] |= 1
+		if o := s.ordersFor(m, r); len(o) != 1 || o[0].Verb != model.OrderForget {
 			t.Errorf("%v once it is written", o)
 		}
 	})
@@ -117,7 +117,7 @@
 	})
 	t.Run("a lease that has surely run out frees what ran under it", func(t *testing.T) {
 		s, j, m := newLeader(t)
-		x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true}
+		x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
 		s.bind(x)
 		m.lastReplyAt = time.Second
 		for _, c := range []struct {
@@ -146,7 +146,7 @@
 // task waits again once the machine no longer shows it.
 func TestUnknownStatesAndCauses(t *testing.T) {
 	s, j, m := newLeader(t)
-	x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, m: m, session: 1, issued: true}
+	x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
 	s.bind(x)
 	seq := uint64(10)
 	report := func(tasks ...model.TaskReport) []model.Order {
@@ -168,11 +168,11 @@
 	if j.tasks[0] != x {
 		t.Error("unbound by a reason that nobody knows")
 	}
-	if len(orders) != 1 || orders[0].Verb != model.Forget {
+	if len(orders) != 1 || orders[0].Verb != model.OrderForget {
 		t.Errorf("orders %v, want to forget it", orders)
 	}
-	if report(); j.tasks[0] != nil || j.waiting() != 3 {
-		t.Errorf("no longer shown: bound: %v, %d tasks wait", j.tasks[0] != nil, j.waiting())
+	if report(); j.tasks[0] != nil || j.waitingTasks() != 3 {
+		t.Errorf("no longer shown: bound: %v, %d tasks wait", j.tasks[0] != nil, j.waitingTasks())
 	}
 }
 
@@ -182,19 +182,19 @@
 	gathering := func(t *testing.T) (*State, *job, *machine) {
 		s, _, m := newLeader(t)
 		s.cfg.GangWaitTimeout = 40 * time.Second
-		s.apply(Item{Key: prefixJobs + "req-000002", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000002", Team: "t", Tasks: 3, CPUs: 1, Kind: model.Gang}}), ModRevision: 6})
+		s.apply(Item{Key: prefixJobs + "req-000002", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000002", Team: "t", Tasks: 3, CPUs: 1, Kind: model.KindGang}}), ModRevision: 6})
 		j := s.jobs["req-000002"]
 		for i := range 2 {
-			s.bind(&task{job: j, index: i, name: model.TaskName(j.ID, i), attempt: 7, m: m, session: 1, issued: true, state: model.TaskGathering})
+			s.bind(&task{job: j, index: i, name: model.TaskName(j.ID, i), attempt: 7, machine: m, session: 1, startSent: true, state: model.TaskGathering})
 		}
-		j.gang = gang{attempt: 7}
+		j.gang = gangStatus{attempt: 7}
 		return s, j, m
 	}
 	t.Run("a task that is lost while others run is not replaced", func(t *testing.T) {
 		for _, began := range []bool{false, true} {
 			s, j, _ := gathering(t)
-			j.gang.began = began
-			if ready := s.gangReady(j); ready == began {
+			j.gang.started = began
+			if ready := s.isGangSchedulable(j); ready == began {
 				t.Errorf("began: %v, a third task may be placed: %v", began, ready)
 			}
 		}
@@ -202,9 +202,9 @@
 	t.Run("a gang that has begun and misses a task is ended", func(t *testing.T) {
 		for _, began := range []bool{false, true} {
 			s, j, _ := gathering(t)
-			j.gang.began = began
-			s.reconcileGangs()
-			if j.gang.aborting != began || j.tasks[0].killing != began {
+			j.gang.started = began
+			s.abortIncompleteGangs()
+			if j.gang.aborting != began || j.tasks[0].stopping != began {
 				t.Errorf("began: %v, ended: %v", began, j.gang.aborting)
 			}
 		}
@@ -213,50 +213,50 @@
 		s, j, m := gathering(t)
 		s.abortGang(j, 0)
 		s.applyTaskReport(m, model.TaskReport{Task: model.TaskName(j.ID, 2), Attempt: 7, State: model.TaskGathering}, &model.Report{Session: 1})
-		if x := j.tasks[2]; x == nil || !x.killing {
+		if x := j.tasks[2]; x == nil || !x.stopping {
 			t.Errorf("the third task is adopted and goes on: %+v", x)
 		}
 	})
 	t.Run("a gang on a machine that is drained stops as a whole, with the time to save", func(t *testing.T) {
 		s, j, m := gathering(t)
 		other := s.ensureMachine("n-2")
-		j.Checkpoint, j.SaveCost, j.gang.began = 20, 4, true
-		s.bind(&task{job: j, index: 2, name: model.TaskName(j.ID, 2), attempt: 7, m: other, session: 1, issued: true, state: model.TaskRunning})
+		j.CheckpointEveryS, j.CheckpointCostS, j.gang.started = 20, 4, true
+		s.bind(&task{job: j, index: 2, name: model.TaskName(j.ID, 2), attempt: 7, machine: other, session: 1, startSent: true, state: model.TaskRunning})
 		m.slowRuns = slowSamples
 		s.findSlowMachines()
 		for i, x := range j.tasks {
-			if !x.killing || x.grace < j.SaveCost {
-				t.Errorf("task %d: stopped: %v, %v s to save", i, x.killing, x.grace)
+			if !x.stopping || x.graceS < j.CheckpointCostS {
+				t.Errorf("task %d: stopped: %v, %v s to save", i, x.stopping, x.graceS)
 			}
 		}
 	})
 	t.Run("room that is being made for a gang is not made twice", func(t *testing.T) {
 		s, _, _ := newLeader(t)
-		s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, FetchRate: 1}
+		s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1}
 		s.typeList = []model.MachineType{*s.types["small"]}
-		low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.Batch, Tasks: 8, CPUs: 1}, rank: model.Rank(model.Low), tasks: map[int]*task{}, zones: map[string]int{}, doneBits: make([]uint64, 1)}
-		g := &job{Job: model.Job{ID: "req-000004", Team: "t", Kind: model.Gang, Tasks: 2, CPUs: 2}, rank: model.Rank(model.High), tasks: map[int]*task{}, zones: map[string]int{}}
-		g.entry = &sched.Job{ID: g.ID, Waiting: 2, Need: g.need(), Gang: true, Ref: g}
+		low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8, CPUs: 1}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
+		g := &job{Job: model.Job{ID: "req-000004", Team: "t", Kind: model.KindGang, Tasks: 2, CPUs: 2}, rank: model.PriorityRank(model.PriorityHigh), tasks: map[int]*task{}, tasksByZone: map[string]int{}}
+		g.queueEntry = &sched.Job{ID: g.ID, Waiting: 2, Need: g.need(), IsGang: true, Ref: g}
 		env := &roundEnv{s: s, elapsed: func() time.Duration { return 0 }}
 		for i, host := range []string{"n-1", "n-2"} {
 			m := s.ensureMachine(host)
 			s.describeMachine(m, "e", "small", "a", false)
 			m.session, m.reconciled, m.registered, m.hasReported = 1, true, true, true
 			for k := range 4 {
-				s.bind(&task{job: low, index: 4*i + k, name: model.TaskName(low.ID, 4*i+k), attempt: 5, m: m, session: 1, issued: true, state: model.TaskRunning})
+				s.bind(&task{job: low, index: 4*i + k, name: model.TaskName(low.ID, 4*i+k), attempt: 5, machine: m, session: 1, startSent: true, state: model.TaskRunning})
 			}
 			s.refreshView(m)
 			env.views = append(env.views, &m.view)
 		}
 		stopped := func() (n int) {
 			for _, x := range low.tasks {
-				if x.killing {
+				if x.stopping {
 					n++
 				}
 			}
 			return n
 		}
-		s.preemptForGang(g, env, s.teamUse())
+		s.preemptForGang(g, env, s.usageWithoutStopping())
 		if n := stopped(); n != 4 {
 			t.Fatalf("%d tasks stopped, want 4", n)
 		}
@@ -265,16 +265,16 @@
 			m.viewStale = true
 			s.refreshView(m)
 		}
-		g.entry.Waiting = 2
+		g.queueEntry.Waiting = 2
 		for _, m := range s.machinesByName { // as if others had come in between
 			if m.reservedFor == nil {
 				continue
 			}
 			for _, x := range m.tasks {
-				x.killing = false
+				x.stopping = false
 			}
 		}
-		s.preemptForGang(g, env, s.teamUse())
+		s.preemptForGang(g, env, s.usageWithoutStopping())
 		if n := stopped(); n != 0 {
 			t.Errorf("%d tasks more are stopped while room is kept", n)
 		}
@@ -283,15 +283,15 @@
 		for _, c := range []struct {
 			age  time.Duration
 			want bool
-		}{{beginWithin / 2, false}, {beginWithin / 4, true}} {
+		}{{maxFirstStartDelay / 2, false}, {maxFirstStartDelay / 4, true}} {
 			s, _, m := newLeader(t)
 			s.wallMs = int64(time.Hour / time.Millisecond)
-			low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.Batch, Tasks: 8}, rank: model.Rank(model.Low), tasks: map[int]*task{}, zones: map[string]int{}, doneBits: make([]uint64, 1)}
-			low.at = s.wallMs - int64(c.age/time.Millisecond)
-			x := &task{job: low, name: "req-000003/0", m: m, session: 1}
+			low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
+			low.submittedAt = s.wallMs - int64(c.age/time.Millisecond)
+			x := &task{job: low, name: "req-000003/0", machine: m, session: 1}
 			s.bind(x)
-			e := &eviction{s: s, job: &job{Job: model.Job{Kind: model.Gang, Team: "t"}, rank: model.Rank(model.High)}}
-			if got := e.mayStop(x, sched.Resources{}); got != c.want {
+			e := &eviction{s: s, job: &job{Job: model.Job{Kind: model.KindGang, Team: "t"}, rank: model.PriorityRank(model.PriorityHigh)}}
+			if got := e.canStop(x, sched.Resources{}); got != c.want {
 				t.Errorf("a job of %v with one task: may be stopped: %v", c.age, got)
 			}
 		}
@@ -300,13 +300,13 @@
 
 // TestImpossibleJobs: what can never run is refused, and nothing else.
 func TestImpossibleJobs(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	s.cfg.Teams["tight"] = Team{Limit: sched.Resources{CPUs: 8}}
 	s.typeList = []model.MachineType{
-		{Name: "small", CPUs: 4, MemoryGB: 16, ZonesAvail: []string{"a", "b"}},
-		{Name: "large", CPUs: 16, MemoryGB: 64, ZonesAvail: []string{"a"}},
+		{Name: "small", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}},
+		{Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}},
 	}
-	gang := model.Job{Team: "t", Kind: model.Gang, Tasks: 4, CPUs: 2, MemoryGB: 4}
+	gang := model.Job{Team: "t", Kind: model.KindGang, Tasks: 4, CPUs: 2, MemoryGB: 4}
 	with := func(change func(j *model.Job)) model.Job {
 		j := gang
 		change(&j)
@@ -320,7 +320,7 @@
 		{"a gang", gang, false},
 		{"within the limit", with(func(j *model.Job) { j.Team = "tight" }), false},
 		{"all tasks together beyond the limit", with(func(j *model.Job) { j.Team, j.Tasks = "tight", 5 }), true},
-		{"an array whose tasks go one after the other", with(func(j *model.Job) { j.Team, j.Tasks, j.Kind = "tight", 5, model.Batch }), false},
+		{"an array whose tasks go one after the other", with(func(j *model.Job) { j.Team, j.Tasks, j.Kind = "tight", 5, model.KindBatch }), false},
 		{"unknown team", with(func(j *model.Job) { j.Team = "nobody" }), true},
 		{"no machine is so large", with(func(j *model.Job) { j.CPUs = 17 }), true},
 		{"none in that zone", with(func(j *model.Job) { j.CPUs, j.Zone = 8, "b" }), true},
@@ -329,10 +329,10 @@
 		{"spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone = true, true }), true},
 		{"spread in the only zone allowed", with(func(j *model.Job) { j.Spread, j.Zone = true, "a" }), true},
 		{"one task, spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone, j.Tasks = true, true, 1 }), false},
-		{"an array spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone, j.Kind = true, true, model.Batch }), false},
+		{"an array spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone, j.Kind = true, true, model.KindBatch }), false},
 		{"larger than anything there is now", with(func(j *model.Job) { j.Tasks = 10_000 }), false},
 	} {
-		if why := s.impossible(&c.job); (why != "") != c.want {
+		if why := s.infeasibleReason(&c.job); (why != "") != c.want {
 			t.Errorf("%s: refused with %q, want to be refused: %v", c.name, why, c.want)
 		}
 	}
@@ -347,12 +347,12 @@
 		job    model.Job
 		status int
 	}{
-		{"can never run", model.Job{Team: "nobody", Kind: model.Batch, Tasks: 1}, 422},
-		{"too long for the limits that are to come", model.Job{Team: "t", Kind: model.Batch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
-		{"gangs are not set up", model.Job{Team: "t", Kind: model.Gang, Tasks: 2}, 400},
+		{"can never run", model.Job{Team: "nobody", Kind: model.KindBatch, Tasks: 1}, 422},
+		{"too long for the limits that are to come", model.Job{Team: "t", Kind: model.KindBatch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
+		{"gangs are not set up", model.Job{Team: "t", Kind: model.KindGang, Tasks: 2}, 400},
 	} {
 		for _, accepted := range []bool{false, true} {
-			s := alone()
+			s := newSingleController()
 			s.cfg.MaxValueBytes = 2 << 10
 			s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 			s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
@@ -364,7 +364,7 @@
 					t.Fatalf("%s: answered %d before the state service was read", c.name, r.Status)
 				}
 			}
-			call, ok := storeCall(out, StoreWatch)
+			call, ok := findStoreCall(out, StoreWatch)
 			if !ok {
 				t.Fatalf("%s: nothing is read", c.name)
 			}
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -20,24 +20,24 @@
 // expectedRunTime is how long a task of j should run: what its finished tasks took, or
 // the owner's estimate while too few have finished.
 func (j *job) expectedRunTime() (time.Duration, bool) {
-	if len(j.runs) < slowSamples {
-		return time.Duration(j.Estimate * float64(time.Second)), false
+	if len(j.runTimes) < slowSamples {
+		return time.Duration(j.EstimateS * float64(time.Second)), false
 	}
-	return j.runs[len(j.runs)/2], true
+	return j.runTimes[len(j.runTimes)/2], true
 }
 
 // recordRunTime notes what a finished task took. Only starts that this leader saw count.
 func (s *State) recordRunTime(t *task) {
-	if t.adopted || t.since == 0 || t.job.Kind == model.Gang {
+	if t.inherited || t.runningSince == 0 || t.job.Kind == model.KindGang {
 		return // a gang runs at the speed of its slowest machine, whichever that is
 	}
-	took := s.now - t.since
+	took := s.now - t.runningSince
 	if e, sure := t.job.expectedRunTime(); sure && e > 0 {
-		t.m.compareRunTime(float64(took) / float64(e))
+		t.machine.compareRunTime(float64(took) / float64(e))
 	}
-	if len(t.job.runs) < 64 {
-		at, _ := slices.BinarySearch(t.job.runs, took)
-		t.job.runs = slices.Insert(t.job.runs, at, took)
+	if len(t.job.runTimes) < 64 {
+		at, _ := slices.BinarySearch(t.job.runTimes, took)
+		t.job.runTimes = slices.Insert(t.job.runTimes, at, took)
 	}
 }
 
@@ -69,7 +69,7 @@
 		signs := m.slowRuns
 		for _, t := range m.tasks {
 			e, sure := t.job.expectedRunTime()
-			if sure && t.job.Kind != model.Gang && t.state == model.TaskRunning && t.since > 0 && s.now-t.since > time.Duration(slowRatio*float64(e)) {
+			if sure && t.job.Kind != model.KindGang && t.state == model.TaskRunning && t.runningSince > 0 && s.now-t.runningSince > time.Duration(slowRatio*float64(e)) {
 				signs++
 			}
 		}
@@ -77,7 +77,7 @@
 			continue
 		}
 		m.slow = true
-		s.dirty = true
+		s.dispatchNeeded = true
 		s.log(slog.LevelInfo, "machine is slow", "host", m.host, "signs", signs, "term", s.leadership.Term)
 		for _, name := range sortedKeys(m.tasks) {
 			s.moveOffSlowMachine(m.tasks[name])
@@ -88,16 +88,16 @@
 // moveOffSlowMachine stops t if running it anew elsewhere should be quicker than
 // the rest of its run here.
 func (s *State) moveOffSlowMachine(t *task) {
-	if t.killing || t.job.Kind == model.Service {
+	if t.stopping || t.job.Kind == model.KindService {
 		return
 	}
-	if t.job.Checkpoint > 0 {
-		s.kill(t, t.job.SaveCost*1.25)
+	if t.job.CheckpointEveryS > 0 {
+		s.stopTask(t, t.job.CheckpointCostS*1.25)
 		return
 	}
 	e, _ := t.job.expectedRunTime()
 	whole := time.Duration(2 * slowRatio * float64(e)) // slower than slowRatio: take twice that
-	if t.state != model.TaskRunning || whole-(s.now-t.since) > e+e/4 {
-		s.kill(t, 0)
+	if t.state != model.TaskRunning || whole-(s.now-t.runningSince) > e+e/4 {
+		s.stopTask(t, 0)
 	}
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -35,7 +35,7 @@
 
 	replica
 	writer
-	users
+	userRequests
 	cancellationState
 	cancellationWatch
 	leadState
@@ -97,8 +97,8 @@
 	for _, p := range cfg.Peers {
 		s.peers[p] = &peerState{}
 	}
-	s.round = sched.NewRound(sched.Config{SkipLimit: cfg.SkipLimit})
-	s.users.init(cfg.Incarnation)
+	s.dispatcher = sched.NewDispatcher(sched.Config{SkipLimit: cfg.SkipLimit})
+	s.userRequests.init(cfg.Incarnation)
 	s.cancellationState.unacknowledged = map[string]uint64{}
 	s.watched = map[string]*cancellationRecord{}
 	s.pageHosts = map[int][]string{}
@@ -123,9 +123,9 @@
 	case Poll:
 		s.poll(requester{requestID: e.RequestID}, e.ID)
 	case Cancel:
-		s.withdraw(requester{requestID: e.RequestID}, e.ID)
+		s.cancel(requester{requestID: e.RequestID}, e.ID)
 	case HealthCheck:
-		s.up(e.RequestID)
+		s.answerHealthCheck(e.RequestID)
 	case WorkerReport:
 		s.handleReport(e)
 	case StoreResult:
@@ -140,7 +140,7 @@
 	s.stepDownIfExpired()
 	s.sendLinearizableRead()
 	s.sendNextTxn()
-	if s.dirty && s.now >= s.nextRound && s.IsLeader() {
+	if s.dispatchNeeded && s.now >= s.nextRoundAt && s.IsLeader() {
 		s.dispatch()
 	}
 	return s.effects
@@ -161,18 +161,18 @@
 		return
 	}
 	s.expireLeases()
-	s.recalls()
+	s.stopBeforeReclaim()
 	s.findSlowMachines()
-	s.reconcileGangs()
+	s.abortIncompleteGangs()
 	s.maintainRegistry()
-	s.keepBitmaps()
+	s.writeBitmaps()
 	s.sendCommands()
 	s.cloudTick()
-	s.shareCounts()
-	if s.now >= s.idleRound && s.waiting() {
+	s.sendRunningCounts()
+	if s.now >= s.nextTimedRoundAt && s.hasWaitingTasks() {
 		// Time alone can make a task schedulable or end its wait in a local queue.
-		s.idleRound = s.now + s.cfg.ReportInterval/6
-		s.dirty = true
+		s.nextTimedRoundAt = s.now + s.cfg.ReportInterval/6
+		s.dispatchNeeded = true
 	}
 }
 
--- a/internal/core/task_reports.go
+++ b/internal/core/task_reports.go
@@ -23,7 +23,7 @@
 	s.confirmDelivery(m, r)
 	if r.Epoch >= max(s.epochBase(), m.minEpoch) && !m.reconciled && !m.leaseExpired {
 		m.reconciled = true
-		s.dirty = true
+		s.dispatchNeeded = true
 		s.log(slog.LevelDebug, "machine adopted", "host", m.host, "term", s.leadership.Term, "tasks", len(r.Tasks))
 	}
 	s.handleReclaimNotice(m, r)
@@ -70,14 +70,14 @@
 
 // handleReclaimNotice takes the cloud's notice that it will take the machine.
 func (s *State) handleReclaimNotice(m *machine, r *model.Report) {
-	if r.Recall == nil {
+	if r.ReclaimInS == nil {
 		return
 	}
 	if m.reclaimAt == 0 {
-		s.log(slog.LevelInfo, "machine recalled", "host", m.host, "in_s", *r.Recall)
-		s.dirty = true
+		s.log(slog.LevelInfo, "machine recalled", "host", m.host, "in_s", *r.ReclaimInS)
+		s.dispatchNeeded = true
 	}
-	m.reclaimAt = s.now + time.Duration(*r.Recall*float64(time.Second))
+	m.reclaimAt = s.now + time.Duration(*r.ReclaimInS*float64(time.Second))
 }
 
 // handleUnlistedTask takes that a report doesn't show a task that is bound to its machine.
@@ -85,16 +85,16 @@
 // from the answer that carried it, and has shown an epoch above that of any direct
 // command without an outcome.
 func (s *State) handleUnlistedTask(t *task, r *model.Report, own bool) {
-	m := t.m
-	gone := t.issued && (t.directEpoch == 0 || r.Epoch > t.directEpoch) && (t.issuedSeq == 0 || own && r.Seq > t.issuedSeq)
+	m := t.machine
+	gone := t.startSent && (t.unconfirmedStartEpoch == 0 || r.Epoch > t.unconfirmedStartEpoch) && (t.startSentSeq == 0 || own && r.Seq > t.startSentSeq)
 	switch {
-	case !gone && t.issued:
-		if t.killing && t.directEpoch != 0 && m.fence <= t.directEpoch&(1<<fenceBits-1) {
+	case !gone && t.startSent:
+		if t.stopping && t.unconfirmedStartEpoch != 0 && m.fence <= t.unconfirmedStartEpoch&(1<<fenceBits-1) {
 			s.raiseFence(m)
 		}
-	case t.killing:
+	case t.stopping:
 		s.unbind(t, "never started")
-		s.dirty = true
+		s.dispatchNeeded = true
 	case t.state != "":
 		// It was there and is not any more, in the same session.
 		s.log(slog.LevelError, "task vanished", "task", t.name, "attempt", t.attempt, "host", m.host, "term", s.leadership.Term)
@@ -104,7 +104,7 @@
 
 // applyTaskReport takes one task of a report.
 func (s *State) applyTaskReport(m *machine, p model.TaskReport, r *model.Report) {
-	id, i, ok := model.SplitTask(p.Task)
+	id, i, ok := model.ParseTaskName(p.Task)
 	if !ok {
 		return
 	}
@@ -115,17 +115,17 @@
 	}
 	if p.State == model.TaskExited {
 		if j != nil && p.Cause == model.CauseDone {
-			s.finished(j, i)
+			s.markTaskDone(j, i)
 		}
 		return
 	}
 	// Alive and not ours by this attempt: adopt what a former leader began,
 	// unless the job is over or the task is somewhere else.
-	if j != nil && !j.final() && i < j.Tasks && !j.isDone(i) && j.tasks[i] == nil {
-		t := &task{job: j, index: i, name: p.Task, attempt: p.Attempt, m: m, session: r.Session, issued: true, adopted: true}
+	if j != nil && !j.isFinal() && i < j.Tasks && !j.isDone(i) && j.tasks[i] == nil {
+		t := &task{job: j, index: i, name: p.Task, attempt: p.Attempt, machine: m, session: r.Session, startSent: true, inherited: true}
 		s.bind(t)
-		if j.Kind == model.Gang {
-			s.adoptGang(t)
+		if j.Kind == model.KindGang {
+			s.adoptGangTask(t)
 		}
 		s.updateTask(t, p)
 		return
@@ -139,24 +139,24 @@
 
 // updateTask takes a bound task's reported state.
 func (s *State) updateTask(t *task, p model.TaskReport) {
-	m, j := t.m, t.job
-	t.issued = true
+	m, j := t.machine, t.job
+	t.startSent = true
 	if t.state != p.State {
-		s.dirty = s.dirty || p.State == model.TaskExited
+		s.dispatchNeeded = s.dispatchNeeded || p.State == model.TaskExited
 		m.viewStale, m.hasUnsentOrders = true, true
 		if p.State == model.TaskRunning {
-			t.since = s.now
+			t.runningSince = s.now
 			m.view.Images.Use(j.Image, j.ImageGB)
 		}
 	}
 	t.state = p.State
-	if j.Kind == model.Gang {
-		s.observeGang(j, p)
+	if j.Kind == model.KindGang {
+		s.applyGangReport(j, p)
 	}
 	if p.State != model.TaskExited {
 		return
 	}
-	if !model.KnownCause(p.Cause) {
+	if !model.IsKnownCause(p.Cause) {
 		// Its end is not taken from a word that nobody knows. The machine is asked
 		// to forget it: once it no longer shows the task, that is gone.
 		s.log(slog.LevelError, "task exited with an unknown reason", "task", t.name, "attempt", t.attempt, "host", m.host, "cause", p.Cause, "term", s.leadership.Term)
@@ -166,23 +166,23 @@
 	switch p.Cause {
 	case model.CauseDone:
 		s.recordRunTime(t)
-		s.finished(j, t.index)
-		j.errors, m.consecutiveErrors = 0, 0
+		s.markTaskDone(j, t.index)
+		j.consecutiveErrors, m.consecutiveErrors = 0, 0
 		m.view.Images.Use(j.Image, j.ImageGB)
 	case model.CauseError:
 		// Mostly the machine is at fault, sometimes the job: both pause for
 		// longer each time, so that neither makes a tight loop.
-		j.errors++
+		j.consecutiveErrors++
 		m.consecutiveErrors++
-		j.retryAt = s.now + s.backoff(j.errors)
+		j.retryAt = s.now + s.backoff(j.consecutiveErrors)
 		m.backoffUntil = s.now + 2*s.backoff(m.consecutiveErrors)
 		s.log(slog.LevelInfo, "task failed", "task", t.name, "attempt", t.attempt, "host", m.host, "term", s.leadership.Term)
-	case model.CauseNoRoom, model.CauseBusy:
+	case model.CauseNoCapacity, model.CauseInUse:
 		m.backoffUntil = s.now + s.cfg.ReportInterval
 		s.log(slog.LevelInfo, "start refused", "task", t.name, "attempt", t.attempt, "host", m.host, "cause", p.Cause, "term", s.leadership.Term)
-	case model.CauseUnknown:
-		j.errors++
-		j.retryAt = s.now + s.backoff(j.errors)
+	case model.CauseNoSuchTask:
+		j.consecutiveErrors++
+		j.retryAt = s.now + s.backoff(j.consecutiveErrors)
 		s.log(slog.LevelInfo, "start refused", "task", t.name, "attempt", t.attempt, "host", m.host, "cause", p.Cause, "term", s.leadership.Term)
 	}
 }
--- a/internal/core/users.go
+++ b/internal/core/user_requests.go
@@ -6,25 +6,27 @@
 	"mulleinfall/internal/model"
 )
 
-// users is what concerns users' requests on this node.
-type users struct {
-	asks   map[uint64]*forwardedRequest
-	askSeq uint64
-	alone  bool // has lost the state service and every peer, and is not back yet
+// userRequests is what concerns users' requests on this node.
+type userRequests struct {
+	forwarded  map[uint64]*forwardedRequest
+	forwardSeq uint64
+	isolated   bool // has lost the state service and every peer, and is not back yet
 }
 
 // init numbers what is asked apart from any other life of this node: a late
 // answer to an earlier life would otherwise answer another user's question.
-func (u *users) init(boot uint64) { u.asks, u.askSeq = map[uint64]*forwardedRequest{}, boot<<20 }
+func (u *userRequests) init(boot uint64) {
+	u.forwarded, u.forwardSeq = map[uint64]*forwardedRequest{}, boot<<20
+}
 
-// userWait bounds how long a user's change is tried. Users give up after 5 s;
+// userRequestTimeout bounds how long a user's change is tried. Users give up after 5 s;
 // what is refused sooner is retried sooner.
-const userWait = 2 * time.Second
+const userRequestTimeout = 2 * time.Second
 
-// swamped says whether a user's change that came now could not be written
+// isWriteQueueFull says whether a user's change that came now could not be written
 // before it is given up, because too many wait before it. Whoever asks is told
 // so at once.
-func (s *State) swamped() bool {
+func (s *State) isWriteQueueFull() bool {
 	waiting := 0
 	for _, w := range s.queue {
 		if w.class != classUser {
@@ -32,10 +34,10 @@
 		}
 		waiting++
 	}
-	return float64(waiting) >= float64(s.writeRate.Limit())*userWait.Seconds()+float64(s.cfg.MaxTxnOps)
+	return float64(waiting) >= float64(s.writeRate.Limit())*userRequestTimeout.Seconds()+float64(s.cfg.MaxTxnOps)
 }
 
-func (s *State) answer(o requester, status int, body any, retry int) {
+func (s *State) replyToUser(o requester, status int, body any, retry int) {
 	if o.peer != "" {
 		s.emit(PeerOut{o.peer, PeerMsg{Kind: MsgForwardReply, Ask: o.forwardID, Status: status, Value: mustMarshal(body), Retry: retry}})
 		return
@@ -43,57 +45,57 @@
 	s.emit(Reply{RequestID: o.requestID, Status: status, Body: body, RetryAfter: retry})
 }
 
-// later refuses for now. Where a peer reaches the state service and we
+// replyRetryLater refuses for now. Where a peer reaches the state service and we
 // don't, it is asked instead.
-func (s *State) later(o requester, why string) {
-	s.answer(o, 503, Problem{why}, 1)
+func (s *State) replyRetryLater(o requester, why string) {
+	s.replyToUser(o, 503, Problem{why}, 1)
 }
 
-func (s *State) up(req uint64) {
+func (s *State) answerHealthCheck(req uint64) {
 	// Not ready only while nothing can be served at all: neither from here
 	// nor through a peer. Flapping is punished, so a slow state service is
 	// no reason, nor is an outage that every node has.
-	if s.loaded && !s.isolated() {
+	if s.loaded && !s.updateIsolation() {
 		s.emit(Reply{RequestID: req, Status: 200, Body: map[string]string{"status": "up"}})
 		return
 	}
 	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{"state not loaded yet"}, RetryAfter: 1})
 }
 
-// isolated says whether this node has lost both the state service and the
+// updateIsolation says whether this node has lost both the state service and the
 // other controllers, so that users are better served elsewhere. Once it has,
 // the state service must be back for a while.
-func (s *State) isolated() bool {
+func (s *State) updateIsolation() bool {
 	gap := s.storeContactTimeout()
 	if s.sinceStoreContact() <= gap {
-		s.alone = s.alone && s.lastContactAt-s.contactSince < gap
-		return s.alone
+		s.isolated = s.isolated && s.lastContactAt-s.contactSince < gap
+		return s.isolated
 	}
 	heard := time.Duration(0)
 	for _, p := range s.peers {
 		heard = max(heard, p.heardAt)
 	}
 	if s.now-heard > 2*gap && s.sinceStoreContact() > 2*gap && len(s.peers) > 0 {
-		s.alone = true
+		s.isolated = true
 	}
-	return s.alone
+	return s.isolated
 }
 
 func (s *State) poll(o requester, id string) {
-	if j := s.jobs[id]; j != nil && j.final() {
+	if j := s.jobs[id]; j != nil && j.isFinal() {
 		s.replyWithStatus(o, j) // final for ever: no need to look
 		return
 	}
 	if s.sinceStoreContact() > s.storeContactTimeout() && s.forwardToPeer(o, "poll", id, nil, 0) {
 		return
 	}
-	s.ifUnknown(o, id,
-		func() { s.answer(o, 404, Problem{"no such job"}, 0) },
+	s.ifNotAccepted(o, id,
+		func() { s.replyToUser(o, 404, Problem{"no such job"}, 0) },
 		func() bool { return s.forwardToPeer(o, "poll", id, nil, 0) })
 }
 
-func (s *State) withdraw(o requester, id string) {
-	if j := s.jobs[id]; j != nil && j.final() {
+func (s *State) cancel(o requester, id string) {
+	if j := s.jobs[id]; j != nil && j.isFinal() {
 		s.replyWithStatus(o, j)
 		return
 	}
@@ -101,67 +103,67 @@
 	switch {
 	case s.sinceStoreContact() > s.storeContactTimeout() && pass():
 	case s.jobs[id] == nil:
-		s.withdrawUnknown(o, id)
+		s.cancelUnknown(o, id)
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
-		s.later(o, "the state service does not answer")
-	case s.swamped():
-		s.later(o, "too many changes under way")
+		s.replyRetryLater(o, "the state service does not answer")
+	case s.isWriteQueueFull():
+		s.replyRetryLater(o, "too many changes under way")
 	default:
-		s.storeWithdrawal(o, id, pass)
+		s.storeCancellation(o, id, pass)
 	}
 }
 
-// withdrawUnknown reads the state service before a job counts as unknown.
-func (s *State) withdrawUnknown(o requester, id string) {
+// cancelUnknown reads the state service before a job counts as unknown.
+func (s *State) cancelUnknown(o requester, id string) {
 	if len(s.pendingReads) >= s.cfg.MaxRequests {
-		s.later(o, "too many requests under way")
+		s.replyRetryLater(o, "too many requests under way")
 		return
 	}
 	s.linearizableRead(func(ok bool) {
 		switch {
 		case !ok:
-			s.later(o, "the state service does not answer")
+			s.replyRetryLater(o, "the state service does not answer")
 		case s.jobs[id] == nil:
-			s.answer(o, 404, Problem{"no such job"}, 0)
+			s.replyToUser(o, 404, Problem{"no such job"}, 0)
 		default:
-			s.withdraw(o, id)
+			s.cancel(o, id)
 		}
 	})
 }
 
-// storeWithdrawal makes a cancellation durable and confirms it; pass hands it to
+// storeCancellation makes a cancellation durable and confirms it; pass hands it to
 // a peer.
-func (s *State) storeWithdrawal(o requester, id string, pass func() bool) {
+func (s *State) storeCancellation(o requester, id string, pass func() bool) {
 	key := prefixJobs + id
 	value := mustMarshal(jobValue{Phase: model.PhaseAborted})
 	s.queueWrite(&write{
 		change:   Change{Key: key, Value: value},
-		deadline: s.now + userWait,
+		deadline: s.now + userRequestTimeout,
 		done: func(r outcome) {
 			j := s.jobs[id]
 			switch {
 			case r == written:
 				s.notifyPeers(key, value)
 				s.replyWithStatus(o, j)
-			case r == conflict && j != nil && j.final():
+			case r == conflict && j != nil && j.isFinal():
 				s.replyWithStatus(o, j)
 			case !pass():
-				s.later(o, "the state service does not answer")
+				s.replyRetryLater(o, "the state service does not answer")
 			}
 		},
 	})
 }
 
-// status is what a user is told of a job.
-func (s *State) status(j *job) JobStatus {
+// jobStatus is what a user is told of a job.
+func (s *State) jobStatus(j *job) JobStatus {
 	st := JobStatus{ID: j.ID, Phase: j.phase, Done: j.doneCount}
 	if j.phase == model.PhaseDone {
 		st.Done = j.Tasks
 	}
 	if j.phase == "" {
-		st.Running = j.running
+		st.Running = j.reportedRunning
 		if s.IsLeader() {
-			st.Running = j.liveTasks()
+			st.Running = j.countRunning()
 		}
 		st.Phase = model.PhaseQueued
 		if st.Running > 0 {
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -120,7 +120,7 @@
 // with gangs has stored knows its gangs, the cluster version, progress in parts
 // and machines, and writes the same again.
 func TestReadsFirstGangsValues(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	stamp := uint64(10)
 	stored := map[string]string{}
 	for _, x := range readSamples(t, firstGangs) {
@@ -133,7 +133,7 @@
 	if s.clusterVersion != versionGangs || s.term != 10 || s.leaderNode != "n2" {
 		t.Errorf("cluster version %d, term %d, leader %s", s.clusterVersion, s.term, s.leaderNode)
 	}
-	if g := s.jobs["req-300001"]; g == nil || g.Kind != model.Gang || g.Tasks != 6 || g.Checkpoint != 5 || g.SaveCost != 2 || s.active[g.ID] != g {
+	if g := s.jobs["req-300001"]; g == nil || g.Kind != model.KindGang || g.Tasks != 6 || g.CheckpointEveryS != 5 || g.CheckpointCostS != 2 || s.active[g.ID] != g {
 		t.Errorf("a gang is read as %+v", g)
 	}
 	if j := s.jobs["req-300007"]; j == nil || j.phase != model.PhaseAborted {
@@ -158,7 +158,7 @@
 		}
 	}
 	// Of a job that goes on: each third of its tasks is done, in three parts.
-	s = alone()
+	s = newSingleController()
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 7000}}), ModRevision: 5})
 	for _, part := range []string{"0", "0.1", "0.2"} {
 		stamp++
@@ -182,7 +182,7 @@
 // TestReadsProductionValues: a controller that starts on what the version in
 // production has stored knows its jobs, progress, machines, types and term.
 func TestReadsProductionValues(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	stamp := uint64(10)
 	for _, x := range readSamples(t, production) {
 		if x.kind == "value" {
@@ -191,7 +191,7 @@
 		}
 	}
 	j := s.jobs["req-000105"]
-	if j == nil || j.Class != "nightly" || j.Tasks != 1 || j.CPUs != 1 || j.Estimate != 9.5 || j.phase != model.PhaseDone {
+	if j == nil || j.Class != "nightly" || j.Tasks != 1 || j.CPUs != 1 || j.EstimateS != 9.5 || j.phase != model.PhaseDone {
 		t.Errorf("req-000105 is %+v", j)
 	}
 	if j := s.jobs["req-000009"]; j == nil || j.phase != model.PhaseAborted {
@@ -211,11 +211,11 @@
 	// Progress, for a job that goes on, and a machine's own key as versions
 	// before the pages wrote it.
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
-	s = alone()
+	s = newSingleController()
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
 	s.apply(Item{Key: prefixProgress + "req-000010/0", Value: json.RawMessage(`{"b":"/wc="}`), ModRevision: 6})
 	s.apply(Item{Key: prefixMachines + "n-7", Value: json.RawMessage(`{"endpoint":"e","type":"small","zone":"a","standing":true}`), ModRevision: 7})
-	if j := s.jobs["req-000010"]; j.doneCount != 11 || !j.durable(10) || j.durable(11) {
+	if j := s.jobs["req-000010"]; j.doneCount != 11 || !j.isDurable(10) || j.isDurable(11) {
 		t.Errorf("%d of 11 finished tasks read", j.doneCount)
 	}
 	if m := s.machines["n-7"]; m == nil || !m.registered || !m.preexisting {
@@ -243,7 +243,7 @@
 		{"it was changed back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := alone()
+			s := newSingleController()
 			s.cfg.Version, s.cfg.Peers, s.peers = NewestVersion, []string{"n1"}, map[string]*peerState{"n1": {}}
 			s.loaded, s.hasContact, s.caughtUp, s.leadership = true, true, true, newLeadership(s)
 			s.now = 10 * time.Minute
@@ -273,11 +273,11 @@
 func TestBitmapsInParts(t *testing.T) {
 	const tasks = 30000
 	leader := func(version int) (*State, *job) {
-		s := alone()
+		s := newSingleController()
 		s.cfg.MaxValueBytes, s.clusterVersion = 2048, version
 		s.loaded, s.hasContact, s.caughtUp = true, true, true
 		s.leadership = newLeadership(s)
-		s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Tasks: tasks, Kind: model.Batch}}), ModRevision: 5})
+		s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Tasks: tasks, Kind: model.KindBatch}}), ModRevision: 5})
 		return s, s.jobs["req-000001"]
 	}
 	write := func(s *State, j *job) map[string][]byte {
@@ -291,7 +291,7 @@
 	for _, c := range []struct{ version, parts int }{{versionFirst, 1}, {versionGangs, 3}} {
 		s, j := leader(c.version)
 		for i := range tasks {
-			j.done(i)
+			j.setDone(i)
 		}
 		out := write(s, j)
 		if len(out) != c.parts {
@@ -328,7 +328,7 @@
 // TestOversizedPageIsSplit: a page of the roster that a former version left larger
 // than values may be now is spread over others, which are written before it.
 func TestOversizedPageIsSplit(t *testing.T) {
-	s := alone()
+	s := newSingleController()
 	s.cfg.MaxValueBytes, s.cfg.MaxTxnOps = 2048, 4
 	s.loaded, s.hasContact = true, true
 	hosts := map[string]machineRecord{}
@@ -350,7 +350,7 @@
 		s.storeRate.SetBurst(1000)
 		s.writeRate.SetBurst(1000)
 		for s.sendNextTxn(); ; s.sendNextTxn() {
-			c, ok := storeCall(s.effects, StoreTxn)
+			c, ok := findStoreCall(s.effects, StoreTxn)
 			s.effects = nil
 			if !ok {
 				break
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -11,17 +11,17 @@
 
 // What the dispatch rule sees of machines and jobs.
 
-// usable says whether m may be given new tasks. While its mark as silent may
+// isUsable says whether m may be given new tasks. While its mark as silent may
 // be on the roster it isn't: a session that has begun since has a lease that no
 // successor would know of.
-func (s *State) usable(m *machine) bool {
+func (s *State) isUsable(m *machine) bool {
 	return m.reconciled && m.registered && m.storedUnresponsiveSince == 0 && !m.leaseExpired && !m.slow && !m.returning && !m.reachability.unreachable && m.reclaimAt == 0 && m.machineType != nil &&
-		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.silence()
+		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.maxReportGap()
 }
 
-// silence is how long a machine may go without a report before it counts as
+// maxReportGap is how long a machine may go without a report before it counts as
 // silent.
-func (s *State) silence() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
+func (s *State) maxReportGap() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
 
 // refreshView works out m's free room and what runs on it, if anything has
 // changed since it was last done.
@@ -33,28 +33,28 @@
 	v := &m.view
 	v.Free = v.Capacity
 	v.Running = v.Running[:0]
-	v.Stays = 0
+	v.ServiceCPUs = 0
 	for _, t := range m.tasks {
-		if t.job.Kind == model.Service && !t.killing {
-			v.Stays += t.job.CPUs
+		if t.job.Kind == model.KindService && !t.stopping {
+			v.ServiceCPUs += t.job.CPUs
 		}
 		need := t.job.need()
 		v.Free = v.Free.Sub(need)
 		end := sched.Never
-		if t.killing {
-			end = s.now + time.Duration(t.grace*float64(time.Second)) + time.Second
-		} else if t.job.Kind != model.Service {
-			begin := t.since
+		if t.stopping {
+			end = s.now + time.Duration(t.graceS*float64(time.Second)) + time.Second
+		} else if t.job.Kind != model.KindService {
+			begin := t.runningSince
 			if t.state != model.TaskRunning {
 				begin = s.now
 				m.viewStale = true // the end moves on until it has begun
 			}
-			end = begin + time.Duration(t.job.Estimate*float64(time.Second))
+			end = begin + time.Duration(t.job.EstimateS*float64(time.Second))
 		}
-		v.Add(sched.Running{Need: need, End: end})
+		v.AddRunning(sched.RunningTask{Need: need, EndAt: end})
 	}
 	for name := range m.orphanedTasks {
-		if j := s.orphanJob(name); j != nil {
+		if j := s.orphanedTaskJob(name); j != nil {
 			v.Free = v.Free.Sub(j.need())
 		} else {
 			v.Free = sched.Resources{} // unknown size: wait until it is gone
@@ -69,11 +69,11 @@
 	v.Fetching = kept
 }
 
-// orphanJob is the job of a task that is on a machine and shouldn't be; nil
+// orphanedTaskJob is the job of a task that is on a machine and shouldn't be; nil
 // where its description isn't known: a job that is over is kept without it,
 // and a leader that wasn't up before knows no more.
-func (s *State) orphanJob(task string) *job {
-	id, _, _ := model.SplitTask(task)
+func (s *State) orphanedTaskJob(task string) *job {
+	id, _, _ := model.ParseTaskName(task)
 	if j := s.jobs[id]; j != nil && j.Team != "" {
 		return j
 	}
@@ -82,19 +82,21 @@
 
 // roundEnv is what the dispatch rule sees of the state.
 type roundEnv struct {
-	s       *State
-	views   []*sched.Machine
-	touched []*machine // in order, each once
-	// together are the tasks of gangs that were placed in this round.
-	together []*task
-	elapsed  func() time.Duration
+	s               *State
+	views           []*sched.Machine
+	changedMachines []*machine // in order, each once
+	// gangTasks are the tasks of gangs that were placed in this round.
+	gangTasks []*task
+	elapsed   func() time.Duration
 }
 
-func (e *roundEnv) Spent() bool { return e.s.cfg.RoundBudget > 0 && e.elapsed() >= e.s.cfg.RoundBudget }
+func (e *roundEnv) BudgetExhausted() bool {
+	return e.s.cfg.RoundBudget > 0 && e.elapsed() >= e.s.cfg.RoundBudget
+}
 
-func (e *roundEnv) markTouched(m *machine) {
-	if !slices.Contains(e.touched, m) {
-		e.touched = append(e.touched, m)
+func (e *roundEnv) markChanged(m *machine) {
+	if !slices.Contains(e.changedMachines, m) {
+		e.changedMachines = append(e.changedMachines, m)
 	}
 }
 
@@ -105,26 +107,26 @@
 // allowed checks type, zone, kind and the job's other tasks, counting every
 // task that may still be somewhere.
 func (s *State) allowed(j *job, m *machine) bool {
-	if m.reservedFor != nil && m.reservedFor != j && s.now < m.reservedUntil && (!m.draining || j.rank != model.Rank(model.Prod)) {
+	if m.reservedFor != nil && m.reservedFor != j && s.now < m.reservedUntil && (!m.draining || j.rank != model.PriorityRank(model.PriorityProd)) {
 		return false
 	}
 	if !j.AllowsType(m.typeName) || j.Zone != "" && j.Zone != m.zone || m.spot && !j.Spot {
 		return false
 	}
-	if j.Kind == model.Gang && j.gang.excluded[m.host] {
+	if j.Kind == model.KindGang && j.gang.excludedHosts[m.host] {
 		return false
 	}
-	here := j.zones[m.zone]
+	here := j.tasksByZone[m.zone]
 	if j.OneZone && here < len(j.tasks) {
 		return false
 	}
-	return !j.Spread || here < j.ZoneCap()
+	return !j.Spread || here < j.MaxTasksPerZone()
 }
 
-func (e *roundEnv) UnderLimit(sj *sched.Job) bool { return e.s.withinLimit(sj.Ref.(*job), 1) }
+func (e *roundEnv) WithinLimit(sj *sched.Job) bool { return e.s.isWithinLimit(sj.Ref.(*job), 1) }
 
-// withinLimit says whether n more tasks of j keep its team within its limit.
-func (s *State) withinLimit(j *job, n int) bool {
+// isWithinLimit says whether n more tasks of j keep its team within its limit.
+func (s *State) isWithinLimit(j *job, n int) bool {
 	lim := s.cfg.Teams[j.Team].Limit
 	if lim.CPUs == 0 && lim.GPUs == 0 {
 		return true
@@ -135,19 +137,19 @@
 		// team would exceed its limit together with what is unseen.
 		return false
 	}
-	used := s.teams[j.Team]
+	used := s.teamUsage[j.Team]
 	for _, m := range s.machinesWithOrphans {
 		for name := range m.orphanedTasks {
-			o := s.orphanJob(name)
+			o := s.orphanedTaskJob(name)
 			if o == nil {
 				return false // whose it is isn't known: it may be this team's
 			}
 			if o.Team == j.Team {
-				used = used.Add(o.teamShare())
+				used = used.Add(o.quotaShare())
 			}
 		}
 	}
-	used = used.Add(j.teamShare().Times(n))
+	used = used.Add(j.quotaShare().Times(n))
 	const slack = 1e-6
 	return (lim.CPUs == 0 || used.CPUs <= lim.CPUs+slack) && (lim.GPUs == 0 || used.GPUs <= lim.GPUs+slack)
 }
@@ -155,47 +157,47 @@
 // Place binds the next waiting task of a job to a machine.
 func (e *roundEnv) Place(sj *sched.Job, v *sched.Machine, path sched.Path) bool {
 	s, j, m := e.s, sj.Ref.(*job), v.Ref.(*machine)
-	i, ok := j.take()
+	i, ok := j.takeWaitingTask()
 	if !ok {
 		sj.Waiting = 0
 		return false
 	}
-	s.attempts++
+	s.attemptCounter++
 	t := &task{
-		job: j, index: i, name: model.TaskName(j.ID, i), m: m, session: m.session,
-		attempt: s.leadership.Term<<attemptBits | s.attempts,
+		job: j, index: i, name: model.TaskName(j.ID, i), machine: m, session: m.session,
+		attempt: s.leadership.Term<<attemptBits | s.attemptCounter,
 	}
-	if j.Kind == model.Gang {
+	if j.Kind == model.KindGang {
 		if len(j.tasks) == 0 {
-			j.gang = gang{attempt: t.attempt}
+			j.gang = gangStatus{attempt: t.attempt}
 		}
 		t.attempt = j.gang.attempt // by which its tasks find each other
-		e.together = append(e.together, t)
+		e.gangTasks = append(e.gangTasks, t)
 	}
 	s.bind(t)
 	sj.Waiting--
 	need := sj.Need
 	v.Free = v.Free.Sub(need)
 	end := sched.Never
-	if !sj.Endless {
+	if !sj.IsService {
 		end = s.now + sj.Estimate
 	}
-	v.Add(sched.Running{Need: need, End: end})
+	v.AddRunning(sched.RunningTask{Need: need, EndAt: end})
 	if !v.Images.Has(j.Image) {
 		found := false
 		for _, f := range v.Fetching {
 			found = found || f.Image == j.Image
 		}
 		if !found {
-			v.Fetching = append(v.Fetching, sched.Fetch{Image: j.Image, GB: j.ImageGB, Since: s.now})
+			v.Fetching = append(v.Fetching, sched.Fetch{Image: j.Image, GB: j.ImageGB, StartedAt: s.now})
 		}
 	}
 	m.idleSince = s.now
 	if m.reservedFor == j {
 		m.reservedFor = nil
 	}
-	s.paths[path]++
-	e.markTouched(m)
+	s.placementsByPath[path]++
+	e.markChanged(m)
 	s.log(slog.LevelDebug, "task placed", "task", t.name, "attempt", t.attempt, "host", m.host, "path", string(path), "term", s.leadership.Term)
 	return true
 }
@@ -204,15 +206,15 @@
 // fit as a whole. Nothing of them has left this node yet.
 func (e *roundEnv) Undo(sj *sched.Job) {
 	j := sj.Ref.(*job)
-	e.together = slices.DeleteFunc(e.together, func(t *task) bool {
+	e.gangTasks = slices.DeleteFunc(e.gangTasks, func(t *task) bool {
 		if t.job != j {
 			return false
 		}
-		e.s.unlink(t)
-		e.s.unfetch(t)
-		j.retry = append(j.retry, t.index)
-		e.s.refreshView(t.m)
-		e.s.paths[sched.Together]--
+		e.s.removeFromTables(t)
+		e.s.dropUnusedFetch(t)
+		j.retryIndexes = append(j.retryIndexes, t.index)
+		e.s.refreshView(t.machine)
+		e.s.placementsByPath[sched.PathGang]--
 		return true
 	})
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -25,7 +25,7 @@
 		}
 		z := zones[m.zone]
 		z.machines++
-		if m.hasReported && s.now-m.lastHeardAt < s.silence() {
+		if m.hasReported && s.now-m.lastHeardAt < s.maxReportGap() {
 			z.reporting++
 		}
 		zones[m.zone] = z
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -7,48 +7,48 @@
 
 // Job is a user's description of a job, as submitted.
 type Job struct {
-	ID         string   `json:"id"`
-	Class      string   `json:"lane"`
-	Team       string   `json:"owner"`
-	Kind       string   `json:"shape"`
-	Priority   string   `json:"rank"`
-	Tasks      int      `json:"pieces"`
-	CPUs       float64  `json:"cpus"`
-	GPUs       float64  `json:"cards"`
-	MemoryGB   float64  `json:"memoryGb"`
-	Image      string   `json:"build"`
-	ImageGB    float64  `json:"pullGb"`
-	Types      []string `json:"flavors,omitempty"`
-	Zone       string   `json:"site,omitempty"`
-	OneZone    bool     `json:"samePlace,omitempty"`
-	Spread     bool     `json:"scatter,omitempty"`
-	Spot       bool     `json:"loaners,omitempty"`
-	Estimate   float64  `json:"guessS"`
-	Checkpoint float64  `json:"snapshotEveryS"`
-	SaveCost   float64  `json:"snapshotCostS"`
-	Due        *float64 `json:"dueS,omitempty"`
+	ID               string   `json:"id"`
+	Class            string   `json:"lane"`
+	Team             string   `json:"owner"`
+	Kind             string   `json:"shape"`
+	Priority         string   `json:"rank"`
+	Tasks            int      `json:"pieces"`
+	CPUs             float64  `json:"cpus"`
+	GPUs             float64  `json:"cards"`
+	MemoryGB         float64  `json:"memoryGb"`
+	Image            string   `json:"build"`
+	ImageGB          float64  `json:"pullGb"`
+	Types            []string `json:"flavors,omitempty"`
+	Zone             string   `json:"site,omitempty"`
+	OneZone          bool     `json:"samePlace,omitempty"`
+	Spread           bool     `json:"scatter,omitempty"`
+	Spot             bool     `json:"loaners,omitempty"`
+	EstimateS        float64  `json:"guessS"`
+	CheckpointEveryS float64  `json:"snapshotEveryS"`
+	CheckpointCostS  float64  `json:"snapshotCostS"`
+	DueS             *float64 `json:"dueS,omitempty"`
 }
 
 // Values of Job.Kind and Job.Priority.
 const (
-	Batch   = "batch"
-	Service = "service"
-	Gang    = "gang" // all tasks run at the same time, or none
-
-	Prod   = "prod"
-	High   = "high"
-	Normal = "normal"
-	Low    = "low"
+	KindBatch   = "batch"
+	KindService = "service"
+	KindGang    = "gang" // all tasks run at the same time, or none
+
+	PriorityProd   = "prod"
+	PriorityHigh   = "high"
+	PriorityNormal = "normal"
+	PriorityLow    = "low"
 )
 
-// Rank orders priorities: the smaller, the more urgent.
-func Rank(priority string) int {
+// PriorityRank orders priorities: the smaller, the more urgent.
+func PriorityRank(priority string) int {
 	switch priority {
-	case Prod:
+	case PriorityProd:
 		return 0
-	case High:
+	case PriorityHigh:
 		return 1
-	case Normal:
+	case PriorityNormal:
 		return 2
 	}
 	return 3
@@ -64,20 +64,20 @@
 
 // MachineType is one kind of machine that the cloud rents.
 type MachineType struct {
-	Name       string   `json:"label"`
-	CPUs       float64  `json:"cpus"`
-	GPUs       float64  `json:"cards"`
-	MemoryGB   float64  `json:"memoryGb"`
-	CacheGB    float64  `json:"localGb"`
-	FetchRate  float64  `json:"fetchGbPerS"`
-	Price      float64  `json:"price"`
-	SpotPrice  float64  `json:"marketPrice"`
-	BootS      float64  `json:"bootS"`
-	ZonesAvail []string `json:"sites"`
+	Name        string   `json:"label"`
+	CPUs        float64  `json:"cpus"`
+	GPUs        float64  `json:"cards"`
+	MemoryGB    float64  `json:"memoryGb"`
+	CacheGB     float64  `json:"localGb"`
+	FetchGBPerS float64  `json:"fetchGbPerS"`
+	Price       float64  `json:"price"`
+	SpotPrice   float64  `json:"marketPrice"`
+	BootS       float64  `json:"bootS"`
+	Zones       []string `json:"sites"`
 }
 
-// Fits says whether one task of j fits an empty machine of this type.
-func (t *MachineType) Fits(j *Job) bool {
+// FitsTask says whether one task of j fits an empty machine of this type.
+func (t *MachineType) FitsTask(j *Job) bool {
 	return j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemoryGB <= t.MemoryGB && j.AllowsType(t.Name)
 }
 
@@ -94,8 +94,8 @@
 	return false
 }
 
-// ZoneCap is how many tasks of the job may be in one zone at a time.
-func (j *Job) ZoneCap() int {
+// MaxTasksPerZone is how many tasks of the job may be in one zone at a time.
+func (j *Job) MaxTasksPerZone() int {
 	if j.Spread {
 		return (j.Tasks + 1) / 2
 	}
@@ -105,8 +105,8 @@
 // TaskName is the wire name of a task.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask takes a task name apart.
-func SplitTask(name string) (job string, index int, ok bool) {
+// ParseTaskName takes a task name apart.
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	for i := len(name) - 1; i > 0; i-- {
 		if name[i] == '/' {
 			n, err := strconv.Atoi(name[i+1:])
@@ -124,20 +124,20 @@
 	TaskSaving    = "saving"
 	TaskExited    = "exited"
 
-	CauseDone    = "done"
-	CauseStopped = "halted"
-	CauseError   = "error"
-	CauseNoRoom  = "full"
-	CauseBusy    = "in_use"
-	CauseUnknown = "no_such"
-	CausePeers   = "peers" // of a gang: another of its tasks is gone
-	CauseAlone   = "alone" // of a gang: it was not complete in time
+	CauseDone           = "done"
+	CauseStopped        = "halted"
+	CauseError          = "error"
+	CauseNoCapacity     = "full"
+	CauseInUse          = "in_use"
+	CauseNoSuchTask     = "no_such"
+	CausePeerLost       = "peers" // of a gang: another of its tasks is gone
+	CauseGangIncomplete = "alone" // of a gang: it was not complete in time
 )
 
-// KnownCause says whether cause is one of the reasons for which a task exits.
-func KnownCause(cause string) bool {
+// IsKnownCause says whether cause is one of the reasons for which a task exits.
+func IsKnownCause(cause string) bool {
 	switch cause {
-	case CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseUnknown, CausePeers, CauseAlone:
+	case CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseInUse, CauseNoSuchTask, CausePeerLost, CauseGangIncomplete:
 		return true
 	}
 	return false
@@ -154,23 +154,23 @@
 
 // Report is what a worker says of itself.
 type Report struct {
-	Host     string       `json:"host"`
-	Endpoint string       `json:"endpoint"`
-	Type     string       `json:"flavor"`
-	Zone     string       `json:"site"`
-	Spot     bool         `json:"loaners"`
-	Session  uint64       `json:"tenure"`
-	Seq      uint64       `json:"tick"`
-	Epoch    uint64       `json:"epoch"`
-	Recall   *float64     `json:"recallS"`
-	Tasks    []TaskReport `json:"pieces"`
+	Host       string       `json:"host"`
+	Endpoint   string       `json:"endpoint"`
+	Type       string       `json:"flavor"`
+	Zone       string       `json:"site"`
+	Spot       bool         `json:"loaners"`
+	Session    uint64       `json:"tenure"`
+	Seq        uint64       `json:"tick"`
+	Epoch      uint64       `json:"epoch"`
+	ReclaimInS *float64     `json:"recallS"`
+	Tasks      []TaskReport `json:"pieces"`
 }
 
 // Order verbs.
 const (
-	Start  = "start"
-	Kill   = "kill"
-	Forget = "forget"
+	OrderStart  = "start"
+	OrderKill   = "kill"
+	OrderForget = "forget"
 )
 
 // Order is one command to a worker.
@@ -178,11 +178,11 @@
 	Verb    string   `json:"verb"`
 	Task    string   `json:"piece"`
 	Attempt uint64   `json:"try"`
-	Grace   *float64 `json:"windDownS,omitempty"`
+	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// Listed is a machine as the cloud lists it.
-type Listed struct {
+// ListedMachine is a machine as the cloud lists it.
+type ListedMachine struct {
 	Host     string  `json:"id"`
 	Endpoint string  `json:"endpoint"`
 	Type     string  `json:"flavor"`
--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -3,7 +3,7 @@
 // Cache models which images a machine holds: the most recently used ones up
 // to its size, as the workers keep them.
 type Cache struct {
-	Size   float64
+	SizeGB float64
 	images []image // least recently used first
 }
 
@@ -13,9 +13,9 @@
 }
 
 // Has says whether the image should be on the machine.
-func (c *Cache) Has(name string) bool { return c.find(name) >= 0 }
+func (c *Cache) Has(name string) bool { return c.indexOf(name) >= 0 }
 
-func (c *Cache) find(name string) int {
+func (c *Cache) indexOf(name string) int {
 	for i := range c.images {
 		if c.images[i].name == name {
 			return i
@@ -26,7 +26,7 @@
 
 // Use notes that a task used the image, fetched if need be.
 func (c *Cache) Use(name string, gb float64) {
-	if i := c.find(name); i >= 0 {
+	if i := c.indexOf(name); i >= 0 {
 		c.images = append(c.images[:i], c.images[i+1:]...)
 	}
 	c.images = append(c.images, image{name, gb})
@@ -34,7 +34,7 @@
 	for _, im := range c.images {
 		used += im.gb
 	}
-	for used > c.Size && len(c.images) > 1 {
+	for used > c.SizeGB && len(c.images) > 1 {
 		used -= c.images[0].gb
 		c.images = c.images[1:]
 	}
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -8,13 +8,13 @@
 
 // Gangs: all tasks of a job go in one round or none does.
 
-// gang sends all tasks of j on their way, or none of them. It knows neither
+// placeGang sends all tasks of j on their way, or none of them. It knows neither
 // local queues nor skips.
-func (r *Round) gang(now time.Duration, j *Job, machines []*Machine, env Env) {
-	if !env.UnderLimit(j) {
+func (r *Dispatcher) placeGang(now time.Duration, j *Job, machines []*Machine, env Env) {
+	if !env.WithinLimit(j) {
 		return
 	}
-	places, ok := gangPlaces(now, j, machines, env)
+	places, ok := gangMachines(now, j, machines, env)
 	if !ok {
 		r.reserveForGang(now, j, machines, env)
 		return
@@ -30,7 +30,7 @@
 				places = places[1:]
 			}
 		}
-		if m == nil || !env.UnderLimit(j) || !env.Place(j, m, Together) {
+		if m == nil || !env.WithinLimit(j) || !env.Place(j, m, PathGang) {
 			env.Undo(j)
 			j.Waiting = n
 			return
@@ -38,13 +38,13 @@
 	}
 }
 
-// gangPlaces lists the machines that have room for all waiting tasks of j, those
+// gangMachines lists the machines that have room for all waiting tasks of j, those
 // first that have its image soonest, since the gang starts with its last image;
 // all of one zone where it must be.
-func gangPlaces(now time.Duration, j *Job, machines []*Machine, env Env) ([]*Machine, bool) {
+func gangMachines(now time.Duration, j *Job, machines []*Machine, env Env) ([]*Machine, bool) {
 	var best []*Machine
 	found, soonest := false, Never
-	for _, zone := range zonesFor(j, machines) {
+	for _, zone := range candidateZones(j, machines) {
 		var list []*Machine
 		cost := map[*Machine]time.Duration{}
 		for _, m := range machines {
@@ -57,14 +57,14 @@
 			if cost[list[a]] != cost[list[b]] {
 				return cost[list[a]] < cost[list[b]]
 			}
-			return better(list[a], list[b], j)
+			return isBetter(list[a], list[b], j)
 		})
 		room, last := 0, time.Duration(0)
 		for _, m := range list {
 			if room >= j.Waiting {
 				break
 			}
-			room += TasksIn(m.Free, j.Need)
+			room += TasksThatFit(m.Free, j.Need)
 			last = cost[m]
 		}
 		if room >= j.Waiting && (!found || last < soonest) {
@@ -74,9 +74,9 @@
 	return best, found
 }
 
-// zonesFor lists the zones that are looked at one by one, in order; "" for all
+// candidateZones lists the zones that are looked at one by one, in order; "" for all
 // of them together.
-func zonesFor(j *Job, machines []*Machine) []string {
+func candidateZones(j *Job, machines []*Machine) []string {
 	if !j.OneZone {
 		return []string{""}
 	}
@@ -90,8 +90,8 @@
 	return zones
 }
 
-// TasksIn is how many tasks of one need room holds.
-func TasksIn(room, need Resources) int {
+// TasksThatFit is how many tasks of one need room holds.
+func TasksThatFit(room, need Resources) int {
 	n := 0
 	for room.Fits(need) && n < 1000 {
 		room = room.Sub(need)
@@ -104,13 +104,13 @@
 // soonest: refilled bit by bit by the tasks of arrays, and by their own local
 // queues, they never all had room at once. Only what one gang needs, and for one
 // gang at a time.
-func (r *Round) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
-	if !j.Overdue || len(r.reserved) > 0 {
+func (r *Dispatcher) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
+	if !j.MayReserve || len(r.reserved) > 0 {
 		return
 	}
 	var best []*Machine
 	soonest := Never
-	for _, zone := range zonesFor(j, machines) {
+	for _, zone := range candidateZones(j, machines) {
 		var list []*Machine
 		holds, wait := map[*Machine]int{}, map[*Machine]time.Duration{}
 		for _, m := range machines {
@@ -118,31 +118,31 @@
 				continue
 			}
 			empty := m.Capacity
-			empty.CPUs -= m.Stays // what stays on it makes no room
-			n := min(TasksIn(empty, j.Need), j.Waiting)
+			empty.CPUs -= m.ServiceCPUs // what stays on it makes no room
+			n := min(TasksThatFit(empty, j.Need), j.Waiting)
 			if n == 0 {
 				continue
 			}
-			if w := m.freeIn(now, j.Need.Times(n)); w < Never {
+			if w := m.estimateTimeToFree(now, j.Need.Times(n)); w < Never {
 				list = append(list, m)
 				holds[m], wait[m] = n, w
 			}
 		}
 		sort.SliceStable(list, func(a, b int) bool {
-			if x, y := r.reservedBefore[list[a]], r.reservedBefore[list[b]]; x != y {
+			if x, y := r.previouslyReserved[list[a]], r.previouslyReserved[list[b]]; x != y {
 				return x
 			}
 			if wait[list[a]] != wait[list[b]] {
 				return wait[list[a]] < wait[list[b]]
 			}
-			return better(list[a], list[b], j)
+			return isBetter(list[a], list[b], j)
 		})
 		room := 0
 		for i, m := range list {
 			if room += holds[m]; room >= j.Waiting {
 				last := time.Duration(0)
 				for _, m := range list[:i+1] {
-					if !r.reservedBefore[m] {
+					if !r.previouslyReserved[m] {
 						last = max(last, wait[m])
 					}
 				}
@@ -159,14 +159,14 @@
 	}
 }
 
-// freeIn estimates how long until m has so much room, if nothing more comes to it.
-func (m *Machine) freeIn(now time.Duration, need Resources) time.Duration {
+// estimateTimeToFree estimates how long until m has so much room, if nothing more comes to it.
+func (m *Machine) estimateTimeToFree(now time.Duration, need Resources) time.Duration {
 	free, last := m.Free, now
 	for _, r := range m.Running {
-		if free.Fits(need) || r.End == Never {
+		if free.Fits(need) || r.EndAt == Never {
 			break
 		}
-		end := r.End
+		end := r.EndAt
 		if end < now {
 			end += 2 * (now - end) // overdue: as much again may be to come
 		}
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Running is a task on a machine.
-type Running struct {
-	Need Resources
-	End  time.Duration // estimated; Never for services
+// RunningTask is a task on a machine.
+type RunningTask struct {
+	Need  Resources
+	EndAt time.Duration // estimated; Never for services
 }
 
 // Never is the end of what has no end to wait for.
@@ -18,54 +18,54 @@
 
 // Machine is a machine that may take tasks.
 type Machine struct {
-	ID       string
-	Zone     string
-	Free     Resources
-	Capacity Resources
-	Rate     float64   // open fetch rate, GB a second
-	Running  []Running // soonest end first
-	Images   *Cache
-	Fetching []Fetch // fetches under way
-	Local    []Queued
-	Price    float64 // an hour, for all of it
-	Spot     bool    // the cloud may take it back
-	Stays    float64 // CPUs of services on it: it can't be given back soon
-	Ref      any     // whatever the caller needs to find its own record
-	reserved bool    // kept free in this round for a task at its skip limit
-	class    int     // of its price by the CPU, in this round
+	ID           string
+	Zone         string
+	Free         Resources
+	Capacity     Resources
+	FetchGBPerS  float64       // open fetch rate, GB a second
+	Running      []RunningTask // soonest end first
+	Images       *Cache
+	Fetching     []Fetch // fetches under way
+	LocalQueue   []QueuedTask
+	PricePerHour float64 // an hour, for all of it
+	Spot         bool    // the cloud may take it back
+	ServiceCPUs  float64 // CPUs of services on it: it can't be given back soon
+	Ref          any     // whatever the caller needs to find its own record
+	reserved     bool    // kept free in this round for a task at its skip limit
+	priceClass   int     // of its price by the CPU, in this round
 }
 
-// Reserved says whether m is kept free for a task at its skip limit or for a gang.
-func (m *Machine) Reserved() bool { return m.reserved }
+// IsReserved says whether m is kept free for a task at its skip limit or for a gang.
+func (m *Machine) IsReserved() bool { return m.reserved }
 
 // Fetch is an image on its way to a machine.
 type Fetch struct {
-	Image string
-	GB    float64
-	Since time.Duration
+	Image     string
+	GB        float64
+	StartedAt time.Duration
 }
 
-// Queued is a task in a machine's local queue.
-type Queued struct {
+// QueuedTask is a task in a machine's local queue.
+type QueuedTask struct {
 	Job *Job
-	// Until is when the work that it waits for should be over; later it
+	// WaitDeadline is when the work that it waits for should be over; later it
 	// returns to the global queue, since the estimate was wrong.
-	Until time.Duration
+	WaitDeadline time.Duration
 }
 
-// fetchLeft is the work in GB that m's open fetches still have to do.
-func (m *Machine) fetchLeft(now time.Duration) float64 {
+// remainingFetchGB is the work in GB that m's open fetches still have to do.
+func (m *Machine) remainingFetchGB(now time.Duration) float64 {
 	left := 0.0
 	for _, f := range m.Fetching {
 		left += f.GB
 	}
 	if len(m.Fetching) > 0 {
-		left -= (now - m.Fetching[0].Since).Seconds() * m.Rate
+		left -= (now - m.Fetching[0].StartedAt).Seconds() * m.FetchGBPerS
 	}
 	return max(left, 0)
 }
 
-func (m *Machine) fetches(image string) bool {
+func (m *Machine) isFetching(image string) bool {
 	for _, f := range m.Fetching {
 		if f.Image == image {
 			return true
@@ -80,27 +80,27 @@
 	if m.Images.Has(j.Image) {
 		return 0
 	}
-	gb := m.fetchLeft(now)
-	if !m.fetches(j.Image) {
+	gb := m.remainingFetchGB(now)
+	if !m.isFetching(j.Image) {
 		gb += j.ImageGB
 	}
-	return time.Duration(gb / m.Rate * float64(time.Second))
+	return time.Duration(gb / m.FetchGBPerS * float64(time.Second))
 }
 
-// holds says whether j's image is on m or on its way there.
-func (m *Machine) holds(j *Job) bool { return m.Images.Has(j.Image) || m.fetches(j.Image) }
+// holdsImage says whether j's image is on m or on its way there.
+func (m *Machine) holdsImage(j *Job) bool { return m.Images.Has(j.Image) || m.isFetching(j.Image) }
 
-// Add notes one more running task, keeping Running in the order of the ends.
-func (m *Machine) Add(r Running) {
-	at := sort.Search(len(m.Running), func(i int) bool { return m.Running[i].End > r.End })
+// AddRunning notes one more running task, keeping Running in the order of the ends.
+func (m *Machine) AddRunning(r RunningTask) {
+	at := sort.Search(len(m.Running), func(i int) bool { return m.Running[i].EndAt > r.EndAt })
 	m.Running = slices.Insert(m.Running, at, r)
 }
 
-// Wait estimates how long until m has room for one more task of j behind its
+// EstimateWait estimates how long until m has room for one more task of j behind its
 // local queue.
-func (m *Machine) Wait(now time.Duration, j *Job) time.Duration {
+func (m *Machine) EstimateWait(now time.Duration, j *Job) time.Duration {
 	need := j.Need
-	for _, q := range m.Local {
+	for _, q := range m.LocalQueue {
 		need = need.Add(q.Job.Need)
 	}
 	if m.Free.Fits(need) {
@@ -110,20 +110,20 @@
 	last := now
 	next := 0 // of the local queue
 	for _, r := range m.Running {
-		if r.End == Never {
+		if r.EndAt == Never {
 			break
 		}
-		end := r.End
+		end := r.EndAt
 		if end < now {
 			end += 2 * (now - end) // overdue: as much again may be to come
 		}
 		last = max(last, end)
 		free = free.Add(r.Need)
-		for next < len(m.Local) && free.Fits(m.Local[next].Job.Need) {
-			free = free.Sub(m.Local[next].Job.Need)
+		for next < len(m.LocalQueue) && free.Fits(m.LocalQueue[next].Job.Need) {
+			free = free.Sub(m.LocalQueue[next].Job.Need)
 			next++
 		}
-		if next == len(m.Local) && free.Fits(j.Need) {
+		if next == len(m.LocalQueue) && free.Fits(j.Need) {
 			return last - now
 		}
 	}
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -3,12 +3,12 @@
 // Resources is what a task takes or a machine has left.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// slack absorbs the rounding of decimal amounts added and taken many times.
-const slack = 1e-6
+// roundingTolerance absorbs the rounding of decimal amounts added and taken many times.
+const roundingTolerance = 1e-6
 
 // Fits says whether r holds need.
 func (r Resources) Fits(need Resources) bool {
-	return need.CPUs <= r.CPUs+slack && need.GPUs <= r.GPUs+slack && need.MemoryGB <= r.MemoryGB+slack
+	return need.CPUs <= r.CPUs+roundingTolerance && need.GPUs <= r.GPUs+roundingTolerance && need.MemoryGB <= r.MemoryGB+roundingTolerance
 }
 
 // Add returns r with o added.
--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -59,7 +59,7 @@
 }
 
 func (c *Checker) jobOf(task string) *truth {
-	id, _, _ := model.SplitTask(task)
+	id, _, _ := model.ParseTaskName(task)
 	return c.jobs[id]
 }
 
@@ -83,7 +83,7 @@
 			c.broken("wrong_place", "%s in %s, others in %s", task, wk.info.Zone, o.info.Zone)
 		}
 	}
-	if j.Spread && here > j.ZoneCap() {
+	if j.Spread && here > j.MaxTasksPerZone() {
 		c.broken("wrong_place", "%d of %s in %s", here, j.ID, wk.info.Zone)
 	}
 	if t.toldCancelled != 0 && c.w.Now > t.toldCancelled+c.w.Opt.Config.CancelWithin {
@@ -125,7 +125,7 @@
 	if t := c.jobOf(task); t != nil && t.on[task] == wk {
 		delete(t.on, task)
 		c.noteMargin(task, t)
-		if t.spec.Kind == model.Gang && !t.done[task] {
+		if t.spec.Kind == model.KindGang && !t.done[task] {
 			t.gang(r.attempt).left(task, c.w.Now)
 		}
 		c.w.tell("task %s attempt %d leaves %s", task, r.attempt, wk.info.Host)
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -44,7 +44,7 @@
 	noKills := func(o []model.Order) []model.Order {
 		kept := []model.Order{}
 		for _, x := range o {
-			if x.Verb != model.Kill {
+			if x.Verb != model.OrderKill {
 				kept = append(kept, x)
 			}
 		}
@@ -58,8 +58,8 @@
 		{rule: "ran_twice", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
 			return edit(e, func(o []model.Order) []model.Order {
 				for _, x := range o {
-					if x.Verb == model.Start {
-						seen = append(seen, model.Order{Verb: model.Start, Task: x.Task, Attempt: x.Attempt + 1})
+					if x.Verb == model.OrderStart {
+						seen = append(seen, model.Order{Verb: model.OrderStart, Task: x.Task, Attempt: x.Attempt + 1})
 					}
 				}
 				return append(noKills(o), seen...)
@@ -73,11 +73,11 @@
 			return edit(e, func(o []model.Order) []model.Order {
 				kept := []model.Order{}
 				for _, x := range noKills(o) {
-					if x.Verb == model.Start && strings.HasSuffix(x.Task, "/1") {
+					if x.Verb == model.OrderStart && strings.HasSuffix(x.Task, "/1") {
 						moved[x.Task] = x
 						continue
 					}
-					if pair, first := strings.CutSuffix(x.Task, "/0"); first && x.Verb == model.Start && w.Check.jobs[pair].spec.Tasks == 2 {
+					if pair, first := strings.CutSuffix(x.Task, "/0"); first && x.Verb == model.OrderStart && w.Check.jobs[pair].spec.Tasks == 2 {
 						m, ok := moved[pair+"/1"]
 						if !ok {
 							continue // it is sent again, and by then both go
@@ -90,7 +90,7 @@
 			})
 		}, setup: func(w *World) {
 			w.At(0, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.Service, Priority: model.Prod,
+				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 2, CPUs: 0.5, MemoryGB: 1, Image: "svc", ImageGB: 1, Spread: true}, 0)
 			})
 		}},
@@ -98,7 +98,7 @@
 			return edit(e, noKills)
 		}, setup: func(w *World) {
 			w.At(20*second, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.Service, Priority: model.Prod,
+				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "svc", ImageGB: 1}, 0)
 			})
 			w.At(60*second, func() {
@@ -115,8 +115,8 @@
 			})
 		}, setup: func(w *World) {
 			w.At(20*second, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.Batch, Priority: model.Low,
-					Tasks: 120, CPUs: 2, MemoryGB: 1, Image: "low", ImageGB: 1, Estimate: 10}, 15*second)
+				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow,
+					Tasks: 120, CPUs: 2, MemoryGB: 1, Image: "low", ImageGB: 1, EstimateS: 10}, 15*second)
 			})
 			w.At(60*second, func() { w.Check.jobs["req-500000"].asked = true }) // and is told so, while it goes on
 		}},
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -21,7 +21,7 @@
 }
 
 type rented struct {
-	model.Listed
+	model.ListedMachine
 	at   time.Duration
 	gone bool
 	end  time.Duration
@@ -58,7 +58,7 @@
 			if m.at > then || m.gone && m.end <= then || h <= call.After {
 				continue
 			}
-			l := m.Listed
+			l := m.ListedMachine
 			l.State = "running"
 			l.AgeS = (then - m.at).Seconds()
 			if c.w.Workers[l.Endpoint] == nil {
@@ -93,7 +93,7 @@
 		have++
 		c.next++
 		h := fmt.Sprintf("n-%06d", c.next)
-		m := &rented{Listed: model.Listed{Host: h, Endpoint: "w" + h, Type: typ, Zone: zone, Spot: spot}, at: c.w.Now}
+		m := &rented{ListedMachine: model.ListedMachine{Host: h, Endpoint: "w" + h, Type: typ, Zone: zone, Spot: spot}, at: c.w.Now}
 		c.machines[h] = m
 		hosts = append(hosts, h)
 		boot := t.BootS * (0.6 + 0.9*c.w.Rnd.Float64())
@@ -102,7 +102,7 @@
 		}
 		c.w.After(time.Duration(boot*float64(time.Second)), func() {
 			if !m.gone {
-				c.w.startWorker(m.Listed, t)
+				c.w.startWorker(m.ListedMachine, t)
 			}
 		})
 	}
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -67,7 +67,7 @@
 		now = g.killed
 	}
 	reached := g.t.progress + now - g.at
-	if every := time.Duration(g.t.spec.Checkpoint * float64(time.Second)); every > 0 {
+	if every := time.Duration(g.t.spec.CheckpointEveryS * float64(time.Second)); every > 0 {
 		g.t.progress = max(g.t.progress, reached/every*every)
 	}
 }
@@ -84,7 +84,7 @@
 	switch r.state {
 	case model.TaskGathering:
 		if wk.w.Now >= r.began+wk.w.Opt.Config.GangWaitTimeout {
-			wk.exit(name, r, model.CauseAlone)
+			wk.exit(name, r, model.CauseGangIncomplete)
 		}
 	case model.TaskRunning:
 		wk.advanceRunning(name, r, g)
@@ -106,7 +106,7 @@
 	case t.done[name]:
 		wk.exit(name, r, model.CauseDone)
 	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
-		wk.exit(name, r, model.CausePeers)
+		wk.exit(name, r, model.CausePeerLost)
 	case g.killed == 0 && g.broken == 0 && w.Now >= r.end:
 		g.over = true
 		for i := range t.spec.Tasks {
@@ -134,19 +134,19 @@
 		wk.exit(name, r, model.CauseStopped)
 	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
 		g.settle(w.Now)
-		wk.exit(name, r, model.CausePeers)
+		wk.exit(name, r, model.CausePeerLost)
 	}
 }
 
 // stopGang is a kill of a gang's task that has its image.
 func (wk *Worker) stopGang(name string, r *run, t *truth, grace *float64) {
 	w, g := wk.w, t.gang(r.attempt)
-	if r.state == model.TaskRunning && t.spec.Checkpoint > 0 && grace != nil && *grace >= t.spec.SaveCost {
+	if r.state == model.TaskRunning && t.spec.CheckpointEveryS > 0 && grace != nil && *grace >= t.spec.CheckpointCostS {
 		if g.killed == 0 {
 			g.killed = w.Now
 		}
 		if w.Now <= g.killed+w.Opt.Config.GangPeerTimeout {
-			r.state, r.end, wk.changed = model.TaskSaving, w.Now+time.Duration(t.spec.SaveCost*float64(time.Second)), true
+			r.state, r.end, wk.changed = model.TaskSaving, w.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
 			return
 		}
 	}
--- a/internal/sim/gang_faults_test.go
+++ b/internal/sim/gang_faults_test.go
@@ -102,9 +102,9 @@
 		attempts int
 		check    func(t *testing.T, w *World)
 	}{
-		{name: "a replacement is refused: full", play: refusedReplacement(model.CauseNoRoom), doneBy: 70 * second, attempts: 1, check: refused},
-		{name: "a replacement is refused: in use", play: refusedReplacement(model.CauseBusy), doneBy: 70 * second, attempts: 1, check: refused},
-		{name: "a replacement is refused: no such task", play: refusedReplacement(model.CauseUnknown), doneBy: 70 * second, attempts: 1, check: refused},
+		{name: "a replacement is refused: full", play: refusedReplacement(model.CauseNoCapacity), doneBy: 70 * second, attempts: 1, check: refused},
+		{name: "a replacement is refused: in use", play: refusedReplacement(model.CauseInUse), doneBy: 70 * second, attempts: 1, check: refused},
+		{name: "a replacement is refused: no such task", play: refusedReplacement(model.CauseNoSuchTask), doneBy: 70 * second, attempts: 1, check: refused},
 		{name: "a replacement's machine never answers", play: func(w *World) {
 			w.Cloud.Rent("small", "b", false, 2)
 			w.loseOneGathering(func() {
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -12,7 +12,7 @@
 
 func gangOf(id string, tasks int) model.Job {
 	j := batch(id, tasks)
-	j.Kind, j.CPUs, j.Class, j.Checkpoint, j.SaveCost, j.Estimate = model.Gang, 2, "gang", 5, 2, 15
+	j.Kind, j.CPUs, j.Class, j.CheckpointEveryS, j.CheckpointCostS, j.EstimateS = model.KindGang, 2, "gang", 5, 2, 15
 	return j
 }
 
@@ -27,12 +27,12 @@
 			j.Team, j.Tasks = "tight", 1+i%3
 		}
 		if i%6 == 5 {
-			j.Checkpoint, j.SaveCost = 0, 0
+			j.CheckpointEveryS, j.CheckpointCostS = 0, 0
 		}
 		if _, ok := w.Opt.Config.Teams["own"]; ok && i%7 == 6 {
 			j.Team = "own"
 		} else if i%5 == 4 {
-			j.Priority = model.High
+			j.Priority = model.PriorityHigh
 		}
 		run := time.Duration(8+i%14) * second
 		w.At(at, func() { w.Users.Submit(j, run) })
@@ -97,7 +97,7 @@
 				}
 				gangs, done := 0, 0
 				for _, x := range w.Check.jobs {
-					if x.accepted && !x.asked && x.spec.Kind == model.Gang {
+					if x.accepted && !x.asked && x.spec.Kind == model.KindGang {
 						gangs++
 						if x.toldDone || !w.Check.couldStart(x) {
 							done++ // services may have left no room for it in any zone
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -153,7 +153,7 @@
 		t.Errorf("%d machines of the zone that was only cut off were returned", gone)
 	}
 	for _, id := range sortedKeys(g.Check.jobs) {
-		if j := g.Check.jobs[id]; j.spec.Kind == model.Service && len(j.on) != j.spec.Tasks {
+		if j := g.Check.jobs[id]; j.spec.Kind == model.KindService && len(j.on) != j.spec.Tasks {
 			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(j.on), j.spec.Tasks)
 		}
 	}
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -419,7 +419,7 @@
 func full(w *World, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+7*second {
 		j := batch(fmt.Sprintf("req-%06d", i), 1+i%4)
-		j.Class, j.Spot, j.Team, j.Estimate = "full", true, "tight", 20
+		j.Class, j.Spot, j.Team, j.EstimateS = "full", true, "tight", 20
 		w.At(at, func() { w.Users.Submit(j, 20*second) })
 	}
 }
@@ -428,7 +428,7 @@
 func crowd(w *World, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+2*second {
 		j := batch(fmt.Sprintf("req-%06d", i), 3+i%5)
-		j.Class, j.Spot, j.Priority, j.CPUs = "crowd"+j.Priority, true, []string{model.Normal, model.Low, model.High}[i%3], 2
+		j.Class, j.Spot, j.Priority, j.CPUs = "crowd"+j.Priority, true, []string{model.PriorityNormal, model.PriorityLow, model.PriorityHigh}[i%3], 2
 		if i%9 == 4 {
 			j = service(j.ID, 1)
 			j.Class = "crowdservice"
--- a/internal/sim/reporting.go
+++ b/internal/sim/reporting.go
@@ -15,7 +15,7 @@
 		Session: wk.session, Seq: wk.seq, Epoch: wk.epoch}
 	if wk.recallAt != 0 {
 		left := (wk.recallAt - wk.w.Now).Seconds()
-		rep.Recall = &left
+		rep.ReclaimInS = &left
 	}
 	for _, name := range sortedKeys(wk.tasks) {
 		r := wk.tasks[name]
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -286,7 +286,7 @@
 			}
 			gangs := 0
 			for _, x := range w.Check.jobs {
-				if x.spec.Kind == model.Gang && x.toldDone {
+				if x.spec.Kind == model.KindGang && x.toldDone {
 					gangs++
 				}
 			}
--- a/internal/sim/served.go
+++ b/internal/sim/served.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	need := 1
-	if j.Kind == model.Gang {
+	if j.Kind == model.KindGang {
 		need = j.Tasks
 	}
 	room := map[string]int{} // by zone, or in all of them
@@ -97,7 +97,7 @@
 	switch {
 	case !j.AllowsType(wk.info.Type), j.Zone != "" && j.Zone != wk.info.Zone, wk.info.Spot && !j.Spot:
 		return false
-	case j.Spread && here >= j.ZoneCap():
+	case j.Spread && here >= j.MaxTasksPerZone():
 		return false
 	}
 	return !j.OneZone || here > 0 || len(zones) == 0
@@ -107,7 +107,7 @@
 // and how many of them users were told are done.
 func (c *Checker) Jobs() (accepted, done int) {
 	for _, t := range c.jobs {
-		if t.accepted && !t.asked && t.spec.Kind == model.Batch {
+		if t.accepted && !t.asked && t.spec.Kind == model.KindBatch {
 			accepted++
 			if t.toldDone {
 				done++
@@ -193,7 +193,7 @@
 				}
 			})
 		}
-		if t.spec.Kind == model.Service && !t.asked {
+		if t.spec.Kind == model.KindService && !t.asked {
 			c.w.At(c.w.Now+within, func() {
 				if len(t.on) != t.spec.Tasks {
 					c.broken("forgotten", "%s: %d of %d replicas run", id, len(t.on), t.spec.Tasks)
--- a/internal/sim/service_test.go
+++ b/internal/sim/service_test.go
@@ -23,7 +23,7 @@
 		n++
 		j.ID = fmt.Sprintf("req-%06d", n)
 		j.Team, j.Class = "t", j.Kind+j.Priority
-		if n%5 == 0 && j.Kind == model.Batch {
+		if n%5 == 0 && j.Kind == model.KindBatch {
 			j.Team = "tight" // no services: they would fill its limit for ever
 		}
 		w.At(at, func() { w.Users.Submit(j, run) })
@@ -33,14 +33,14 @@
 		var id string
 		switch rnd.IntN(6) {
 		case 0:
-			id = submit(at, model.Job{Kind: model.Service, Priority: model.Prod, Tasks: 1 + rnd.IntN(2), CPUs: 2, MemoryGB: 4,
+			id = submit(at, model.Job{Kind: model.KindService, Priority: model.PriorityProd, Tasks: 1 + rnd.IntN(2), CPUs: 2, MemoryGB: 4,
 				Image: "svc", ImageGB: 2, Spread: true}, 0)
 		case 1:
-			id = submit(at, model.Job{Kind: model.Batch, Priority: model.Low, Tasks: 1 + rnd.IntN(3), CPUs: 4, MemoryGB: 10,
-				Image: "low", ImageGB: 3, Spot: true, Estimate: 20, Checkpoint: 10, SaveCost: 3}, 25*second)
+			id = submit(at, model.Job{Kind: model.KindBatch, Priority: model.PriorityLow, Tasks: 1 + rnd.IntN(3), CPUs: 4, MemoryGB: 10,
+				Image: "low", ImageGB: 3, Spot: true, EstimateS: 20, CheckpointEveryS: 10, CheckpointCostS: 3}, 25*second)
 		default:
-			id = submit(at, model.Job{Kind: model.Batch, Priority: model.Normal, Tasks: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 2,
-				Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageGB: 2, Spot: true, OneZone: rnd.IntN(6) == 0, Estimate: 8}, 10*second)
+			id = submit(at, model.Job{Kind: model.KindBatch, Priority: model.PriorityNormal, Tasks: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 2,
+				Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageGB: 2, Spot: true, OneZone: rnd.IntN(6) == 0, EstimateS: 8}, 10*second)
 		}
 		if rnd.IntN(4) == 0 {
 			w.At(at+time.Duration(rnd.IntN(30))*second, func() {
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -55,7 +55,7 @@
 	opt.Capacity = 1
 	w := New(opt)
 	low := batch("req-000001", 12)
-	low.Priority = model.Low
+	low.Priority = model.PriorityLow
 	w.At(second, func() { w.Users.Submit(low, 200*second) })
 	w.At(60*second, func() { w.Users.Submit(service("req-000002", 1), 0) })
 	w.Run(75 * second)
@@ -86,7 +86,7 @@
 func TestGangRunsTogether(t *testing.T) {
 	w := New(Defaults(4))
 	g := batch("req-000001", 6)
-	g.Kind, g.CPUs = model.Gang, 2
+	g.Kind, g.CPUs = model.KindGang, 2
 	w.At(second, func() { w.Users.Submit(g, 30*second) })
 	var seen []int
 	for at := 2 * second; at < 120*second; at += second {
@@ -142,7 +142,7 @@
 	}
 	w.At(100*second, func() { w.Cloud.Take(sortedKeys(w.Cloud.machines)[0]) })
 	low := batch("req-000001", 3)
-	low.Class, low.Priority, low.CPUs, low.Image = "low", model.Low, 2, "low"
+	low.Class, low.Priority, low.CPUs, low.Image = "low", model.PriorityLow, 2, "low"
 	w.At(30*second, func() { w.Users.Submit(low, 12*second) })
 	w.Run(290 * second)
 	w.Check.Served()
@@ -240,7 +240,7 @@
 		{name: "work that saves goes first", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: own(3), begins: true,
 			load: func(w *World) {
 				saves := batch("req-000002", 6)
-				saves.Checkpoint, saves.SaveCost = 3, 1
+				saves.CheckpointEveryS, saves.CheckpointCostS = 3, 1
 				w.Users.Submit(saves, 200*second)
 				w.Users.Submit(batch("req-000001", 6), 200*second)
 			}, left: map[string]int{"req-000001": 6, "req-000002": 0}},
@@ -253,21 +253,21 @@
 			}, left: map[string]int{"req-000001": 6}},
 		{name: "no guarantee, equally urgent", gang: own(2),
 			load: func(w *World) { w.Users.Submit(batch("req-000001", 12), 200*second) }, left: map[string]int{"req-000001": 12}},
-		{name: "more urgent than some, who have to make room", gang: func() model.Job { g := own(3); g.Priority = model.High; return g }(), begins: true,
+		{name: "more urgent than some, who have to make room", gang: func() model.Job { g := own(3); g.Priority = model.PriorityHigh; return g }(), begins: true,
 			load: func(w *World) {
 				same := batch("req-000002", 6)
-				same.Priority = model.High
+				same.Priority = model.PriorityHigh
 				w.Users.Submit(same, 200*second)
 				w.Users.Submit(batch("req-000001", 6), 200*second)
 			}, left: map[string]int{"req-000001": 0, "req-000002": 6}},
-		{name: "more urgent than some, but they can't make room for all of it", gang: func() model.Job { g := own(4); g.Priority = model.High; return g }(),
+		{name: "more urgent than some, but they can't make room for all of it", gang: func() model.Job { g := own(4); g.Priority = model.PriorityHigh; return g }(),
 			load: func(w *World) {
 				same := batch("req-000002", 6)
-				same.Priority = model.High
+				same.Priority = model.PriorityHigh
 				w.Users.Submit(same, 200*second)
 				w.Users.Submit(batch("req-000001", 6), 200*second)
 			}, left: map[string]int{"req-000001": 6, "req-000002": 6}},
-		{name: "more urgent than anything else", gang: func() model.Job { g := own(2); g.Priority = model.Prod; return g }(), begins: true,
+		{name: "more urgent than anything else", gang: func() model.Job { g := own(2); g.Priority = model.PriorityProd; return g }(), begins: true,
 			load: func(w *World) { w.Users.Submit(batch("req-000001", 12), 200*second) }, left: map[string]int{"req-000001": 8}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -16,13 +16,13 @@
 var update = flag.Bool("update", false, "rewrite the kept traces")
 
 func service(id string, tasks int) model.Job {
-	return model.Job{ID: id, Team: "t", Class: "c", Kind: model.Service, Priority: model.Prod,
+	return model.Job{ID: id, Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "svc", ImageGB: 2, Spread: true}
 }
 
 func batch(id string, tasks int) model.Job {
-	return model.Job{ID: id, Team: "t", Class: "c", Kind: model.Batch, Priority: model.Normal,
-		Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 2, Estimate: 10}
+	return model.Job{ID: id, Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityNormal,
+		Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 2, EstimateS: 10}
 }
 
 // host finds the machine that a task is on.
@@ -56,7 +56,7 @@
 	n := 0
 	for _, wk := range w.Workers {
 		for task, r := range wk.tasks {
-			if id, _, _ := model.SplitTask(task); id == job && r.state == state {
+			if id, _, _ := model.ParseTaskName(task); id == job && r.state == state {
 				n++
 			}
 		}
@@ -353,7 +353,7 @@
 	}},
 	{"recall", "A spot machine is recalled without notice while a checkpointed task runs on it.", 70 * second, func(w *World) {
 		j := batch("req-000001", 1)
-		j.Spot, j.Checkpoint, j.SaveCost = true, 5, 2
+		j.Spot, j.CheckpointEveryS, j.CheckpointCostS = true, 5, 2
 		w.At(second, func() { w.Users.Submit(j, 15*second) })
 		w.At(20*second, func() {
 			if wk := w.host("req-000001/0"); wk != nil {
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -10,7 +10,7 @@
 // Worker stands in for the worker of one machine.
 type Worker struct {
 	w    *World
-	info model.Listed
+	info model.ListedMachine
 	typ  *model.MachineType
 	dead bool
 	Hung bool
@@ -46,7 +46,7 @@
 	began   time.Duration
 }
 
-func (w *World) startWorker(info model.Listed, typ *model.MachineType) {
+func (w *World) startWorker(info model.ListedMachine, typ *model.MachineType) {
 	wk := &Worker{w: w, info: info, typ: typ, session: 1, leaseFrom: w.Now, tasks: map[string]*run{}, images: map[string]bool{}}
 	wk.target = w.Rnd.IntN(len(w.Nodes))
 	w.Workers[info.Endpoint] = wk
@@ -123,7 +123,7 @@
 	for _, name := range sortedKeys(wk.tasks) {
 		r := wk.tasks[name]
 		t := wk.w.Check.jobOf(name)
-		if t != nil && t.spec.Kind == model.Gang && r.state != model.TaskFetching {
+		if t != nil && t.spec.Kind == model.KindGang && r.state != model.TaskFetching {
 			wk.advanceGang(name, r, t)
 			continue
 		}
@@ -132,7 +132,7 @@
 			if wk.w.Now >= r.end {
 				wk.images[t.spec.Image] = true
 				r.began = wk.w.Now
-				if t.spec.Kind == model.Gang {
+				if t.spec.Kind == model.KindGang {
 					r.state, wk.changed = model.TaskGathering, true
 					wk.w.Check.on(name, wk, r)
 					if t.done[name] {
@@ -143,9 +143,9 @@
 					continue
 				}
 				r.state, wk.changed = model.TaskRunning, true
-				_, i, _ := model.SplitTask(name)
+				_, i, _ := model.ParseTaskName(name)
 				r.end = wk.w.Now + t.runTime + time.Duration(i)*t.step
-				if t.spec.Kind == model.Service {
+				if t.spec.Kind == model.KindService {
 					r.end = 1 << 62
 				}
 				wk.w.Check.on(name, wk, r)
@@ -234,13 +234,13 @@
 	for _, o := range orders {
 		r := wk.tasks[o.Task]
 		switch o.Verb {
-		case model.Start:
+		case model.OrderStart:
 			wk.start(o, r)
-		case model.Kill:
+		case model.OrderKill:
 			if r != nil && r.attempt == o.Attempt && r.state != model.TaskExited {
 				wk.kill(o, r)
 			}
-		case model.Forget:
+		case model.OrderForget:
 			if r != nil && r.attempt == o.Attempt && r.state == model.TaskExited {
 				delete(wk.tasks, o.Task)
 			}
@@ -266,13 +266,13 @@
 		wk.w.RefuseNext = ""
 		wk.w.Refusals++
 	case t == nil:
-		n.state, n.cause = model.TaskExited, model.CauseUnknown
+		n.state, n.cause = model.TaskExited, model.CauseNoSuchTask
 	case wk.fits(t) == 0:
-		n.state, n.cause = model.TaskExited, model.CauseNoRoom
+		n.state, n.cause = model.TaskExited, model.CauseNoCapacity
 	case wk.images[t.spec.Image]:
 		n.end = wk.w.Now
 	default:
-		n.end = wk.w.Now + time.Duration(t.spec.ImageGB/wk.typ.FetchRate*float64(time.Second))
+		n.end = wk.w.Now + time.Duration(t.spec.ImageGB/wk.typ.FetchGBPerS*float64(time.Second))
 	}
 	wk.tasks[o.Task] = n // from now on it takes room
 }
@@ -280,15 +280,15 @@
 // kill stops a task, which saves if it can and has the time.
 func (wk *Worker) kill(o model.Order, r *run) {
 	t := wk.w.Check.jobOf(o.Task)
-	if t.spec.Kind == model.Gang && r.state != model.TaskFetching {
-		wk.stopGang(o.Task, r, t, o.Grace)
+	if t.spec.Kind == model.KindGang && r.state != model.TaskFetching {
+		wk.stopGang(o.Task, r, t, o.GraceS)
 		return
 	}
-	if r.state == model.TaskRunning && t.spec.Checkpoint > 0 && o.Grace != nil && *o.Grace >= t.spec.SaveCost {
-		r.state, r.end, wk.changed = model.TaskSaving, wk.w.Now+time.Duration(t.spec.SaveCost*float64(time.Second)), true
+	if r.state == model.TaskRunning && t.spec.CheckpointEveryS > 0 && o.GraceS != nil && *o.GraceS >= t.spec.CheckpointCostS {
+		r.state, r.end, wk.changed = model.TaskSaving, wk.w.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
 		return
 	}
-	if r.state == model.TaskSaving && (o.Grace == nil || *o.Grace > 0) {
+	if r.state == model.TaskSaving && (o.GraceS == nil || *o.GraceS > 0) {
 		return
 	}
 	wk.exit(o.Task, r, model.CauseStopped)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -89,7 +89,7 @@
 	return Options{
 		Seed: seed, Nodes: 3, Zones: zones, Restart: 3 * time.Second, ListLag: 5 * time.Second, Capacity: 4,
 		Types: []model.MachineType{{
-			Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchRate: 1, Price: 0.2, SpotPrice: 0.1, BootS: 10, ZonesAvail: zones,
+			Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 0.2, SpotPrice: 0.1, BootS: 10, Zones: zones,
 		}},
 		Config: core.Config{
 			Teams:          map[string]core.Team{"t": {}, "tight": {}},
