--- a/cmd/mulleinfall/main.go
+++ b/cmd/mulleinfall/main.go
@@ -42,7 +42,7 @@
 			}
 			os.Exit(code)
 		}))
-	logTo(os.Getenv("LOG_LEVEL"))
+	setUpLogging(os.Getenv("LOG_LEVEL"))
 	set, err := config.Load(f.Config, f.Operator)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mulleinfall:", err)
@@ -61,7 +61,7 @@
 	}
 }
 
-func logTo(level string) {
+func setUpLogging(level string) {
 	l := slog.LevelInfo
 	switch strings.ToLower(level) {
 	case "error":
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,7 +21,7 @@
 	Now     func() time.Duration
 }
 
-const maxBody = 4 << 20
+const maxResponseBytes = 4 << 20
 
 type wireCommands struct {
 	Epoch   uint64        `json:"epoch"`
@@ -53,7 +53,7 @@
 		return done
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return done
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,7 +13,7 @@
 	"mulleinfall/internal/model"
 )
 
-func worker(t *testing.T, status int, answer string) (addr string, sent *string) {
+func startFakeWorker(t *testing.T, status int, answer string) (addr string, sent *string) {
 	t.Helper()
 	sent = new(string)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -26,7 +26,7 @@
 	return strings.TrimPrefix(srv.URL, "http://"), sent
 }
 
-func client(now time.Duration) *Client {
+func newClient(now time.Duration) *Client {
 	return &Client{HTTP: http.DefaultClient, Timeout: 10 * time.Second, Now: func() time.Duration { return now }}
 }
 
@@ -43,8 +43,8 @@
 		{400, `{}`, 0},      // no report: nothing is known
 		{502, `trouble`, 0}, // not the worker's own words
 	} {
-		addr, sent := worker(t, c.status, c.answer)
-		d := client(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
+		addr, sent := startFakeWorker(t, c.status, c.answer)
+		d := newClient(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
 			Orders: []model.Order{{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2}}})
 		if want := `POST /commands {"epoch":41,"tenure":2,"orders":[{"verb":"start","piece":"req-000412/4","try":2}]}`; *sent != want {
 			t.Errorf("sent %s\nwant %s", *sent, want)
@@ -55,11 +55,11 @@
 	}
 }
 
-// TestNothingIsSentWithoutEntitlement: the processor may have been away
+// TestNothingIsSentAfterLeadershipExpired: the processor may have been away
 // between the decision and the sending.
-func TestNothingIsSentWithoutEntitlement(t *testing.T) {
-	addr, sent := worker(t, 200, `{}`)
-	if d := client(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, SendBefore: time.Second}); d.Status != 0 || *sent != "" {
+func TestNothingIsSentAfterLeadershipExpired(t *testing.T) {
+	addr, sent := startFakeWorker(t, 200, `{}`)
+	if d := newClient(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, SendBefore: time.Second}); d.Status != 0 || *sent != "" {
 		t.Errorf("sent %q", *sent)
 	}
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,12 +14,12 @@
 	"mulleinfall/internal/model"
 )
 
-const job = `{"id":"req-000412","lane":"l","owner":"t","shape":"batch","rank":"high","pieces":16,
+const validJob = `{"id":"req-000412","lane":"l","owner":"t","shape":"batch","rank":"high","pieces":16,
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"build":"img-07","pullGb":6.2,"flavors":["g8"],"site":null,
  "samePlace":true,"scatter":false,"loaners":true,"guessS":240.0,"snapshotEveryS":30.0,"snapshotCostS":4.0,"dueS":900.0,"new":[1]}`
 
 func TestParseJob(t *testing.T) {
-	j, err := ParseJob([]byte(job))
+	j, err := ParseJob([]byte(validJob))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,9 +27,9 @@
 		t.Errorf("parsed as %+v", j)
 	}
 	wrong := []struct{ from, to, want string }{
-		{job, `[1]`, "not a JSON object"},
-		{job, `{"id":`, "not a JSON object"},
-		{job, `null`, "not a JSON object"},
+		{validJob, `[1]`, "not a JSON object"},
+		{validJob, `{"id":`, "not a JSON object"},
+		{validJob, `null`, "not a JSON object"},
 		{`"pieces":16`, `"pieces":0`, "pieces"},
 		{`"pieces":16`, `"pieces":100001`, "pieces"},
 		{`"pieces":16`, `"pieces":1.5`, "pieces"},
@@ -43,48 +43,48 @@
 		{`"dueS":900.0`, `"dueS":-1`, "dueS"},
 	}
 	for _, c := range wrong {
-		if _, err := ParseJob([]byte(strings.Replace(job, c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseJob([]byte(strings.Replace(validJob, c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want a complaint about %s", c.to, err, c.want)
 		}
 	}
 	// What may be null may be left out.
-	if _, err := ParseJob([]byte(strings.NewReplacer(`"flavors":["g8"],`, "", `"site":null,`, "", `,"dueS":900.0`, "").Replace(job))); err != nil {
+	if _, err := ParseJob([]byte(strings.NewReplacer(`"flavors":["g8"],`, "", `"site":null,`, "", `,"dueS":900.0`, "").Replace(validJob))); err != nil {
 		t.Errorf("nullable fields left out: %v", err)
 	}
 }
 
-// fake answers every event in the same way.
-type fake struct {
-	reply core.Reply
-	ok    bool
-	now   time.Duration
-	last  core.Event
-	full  bool // few sockets are left
+// fakeBackend answers every event in the same way.
+type fakeBackend struct {
+	reply           core.Reply
+	ok              bool
+	now             time.Duration
+	lastEvent       core.Event
+	nearSocketLimit bool // few sockets are left
 }
 
-func (f *fake) Ask(make func(uint64) core.Event, _ time.Duration, accepted func()) (core.Reply, bool) {
+func (f *fakeBackend) Process(make func(uint64) core.Event, _ time.Duration, accepted func()) (core.Reply, bool) {
 	accepted()
-	f.last = make(1)
+	f.lastEvent = make(1)
 	return f.reply, f.ok
 }
-func (f *fake) Now() time.Duration { return f.now }
-func (f *fake) Crowded() bool      { return f.full }
+func (f *fakeBackend) Now() time.Duration      { return f.now }
+func (f *fakeBackend) IsNearSocketLimit() bool { return f.nearSocketLimit }
 
-func serve(f *fake, method, path, body string) *httptest.ResponseRecorder {
+func serveRequest(f *fakeBackend, method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	Handler(f, 2*maxBody).ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w
 }
 
-func TestStatuses(t *testing.T) {
-	ok := &fake{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
-	full := &fake{}
+func TestStatusCodes(t *testing.T) {
+	ok := &fakeBackend{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
+	full := &fakeBackend{}
 	cases := []struct {
-		f                  *fake
+		f                  *fakeBackend
 		method, path, body string
 		status             int
 	}{
-		{ok, "POST", "/api/jobs", job, 200},
+		{ok, "POST", "/api/jobs", validJob, 200},
 		{ok, "POST", "/api/jobs", "{}", 400},
 		{ok, "GET", "/api/jobs", "", 405},
 		{ok, "GET", "/api/jobs/req-000001", "", 200},
@@ -96,11 +96,11 @@
 		{ok, "POST", "/agent/beat", `{}`, 400},
 		{ok, "GET", "/up", "", 200},
 		{ok, "GET", "/elsewhere", "", 404},
-		{full, "POST", "/api/jobs", job, 503},
+		{full, "POST", "/api/jobs", validJob, 503},
 		{full, "GET", "/api/jobs/req-000001", "", 503},
 	}
 	for _, c := range cases {
-		w := serve(c.f, c.method, c.path, c.body)
+		w := serveRequest(c.f, c.method, c.path, c.body)
 		if w.Code != c.status {
 			t.Errorf("%s %s: %d, want %d", c.method, c.path, w.Code, c.status)
 		}
@@ -111,17 +111,17 @@
 }
 
 func TestLongBodyRefusedUnread(t *testing.T) {
-	w := serve(&fake{ok: true}, "POST", "/api/jobs", `{"id":"`+strings.Repeat("x", 70<<10)+`"}`)
+	w := serveRequest(&fakeBackend{ok: true}, "POST", "/api/jobs", `{"id":"`+strings.Repeat("x", 70<<10)+`"}`)
 	if w.Code != 400 || w.Header().Get("Connection") != "close" {
 		t.Errorf("got %d, Connection %q", w.Code, w.Header().Get("Connection"))
 	}
 }
 
-// TestLongBodiesShareTheRoom: long bodies that are still on their way take a
+// TestLargeBodiesShareMemoryLimit: long bodies that are still on their way take a
 // bounded part of the memory; whoever finds none left is told to come back at
 // once, and short requests are served all the same.
-func TestLongBodiesShareTheRoom(t *testing.T) {
-	f := &fake{reply: core.Reply{Status: 200, Body: core.ReportReply{}}, ok: true}
+func TestLargeBodiesShareMemoryLimit(t *testing.T) {
+	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{}}, ok: true}
 	h := Handler(f, 20<<10)
 	beat := func(body io.Reader, length int64) *httptest.ResponseRecorder {
 		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", "/agent/beat", body)
@@ -157,7 +157,7 @@
 // TestReportAllocations: what a report allocates on its way in and out stays
 // bounded, and grows by the tasks that it lists and nothing else.
 func TestReportAllocations(t *testing.T) {
-	f := &fake{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5, Orders: []model.Order{}}}, ok: true}
+	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5, Orders: []model.Order{}}}, ok: true}
 	h := Handler(f, 1<<20)
 	cost := func(tasks int) float64 {
 		var list []string
@@ -181,54 +181,54 @@
 	}
 }
 
-// TestLateAnswerIsHeldBack: an answer that waited for the processor past the
+// TestReplyAfterLeadershipExpiredIsRefused: an answer that waited for the processor past the
 // leader's entitlement must not renew a worker's lease.
-func TestLateAnswerIsHeldBack(t *testing.T) {
-	f := &fake{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, SendBefore: time.Second}, ok: true, now: time.Second}
-	if w := serve(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 503 {
+func TestReplyAfterLeadershipExpiredIsRefused(t *testing.T) {
+	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, SendBefore: time.Second}, ok: true, now: time.Second}
+	if w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 503 {
 		t.Errorf("got %d after the entitlement ended", w.Code)
 	}
 }
 
-func TestBeatAndOrdersOnTheWire(t *testing.T) {
-	f := &fake{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
+func TestReportAndOrdersWireFormat(t *testing.T) {
+	f := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
 		{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2},
 		{Verb: model.OrderKill, Task: "req-000377/1", Attempt: 1, GraceS: new(float64)},
 	}}}}
-	w := serve(f, "POST", "/agent/beat", `{"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,
+	w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,
 	 "tenure":1,"tick":88,"epoch":41,"recallS":7.5,"pieces":[{"piece":"req-000412/3","try":2,"phase":"exited","cause":"done"}]}`)
 	want := `{"epoch":41,"orders":[{"verb":"start","piece":"req-000412/4","try":2},{"verb":"kill","piece":"req-000377/1","try":1,"windDownS":0}]}`
 	if w.Body.String() != want {
 		t.Errorf("orders: %s", w.Body)
 	}
-	got, _ := json.Marshal(f.last)
+	got, _ := json.Marshal(f.lastEvent)
 	for _, part := range []string{`"host":"n-000231"`, `"recallS":7.5`, `"tick":88`, `"cause":"done"`} {
 		if !strings.Contains(string(got), part) {
 			t.Errorf("report lost %s: %s", part, got)
 		}
 	}
-	if f.last.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
-		t.Error(fmt.Sprint(f.last))
+	if f.lastEvent.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
+		t.Error(fmt.Sprint(f.lastEvent))
 	}
 }
 
-// TestRefusedWorkersLeave: a worker that is sent on must not keep a socket of a
+// TestRefusedWorkersAreDisconnected: a worker that is sent on must not keep a socket of a
 // controller that has few; one that is answered keeps its connection.
-func TestRefusedWorkersLeave(t *testing.T) {
+func TestRefusedWorkersAreDisconnected(t *testing.T) {
 	for status, want := range map[int]string{200: "", 421: "close", 503: "close"} {
-		f := &fake{ok: true, reply: core.Reply{Status: status, Body: core.Redirect{Leader: "peon-2"}}}
-		w := serve(f, "POST", "/agent/beat", `{"host":"n-1"}`)
+		f := &fakeBackend{ok: true, reply: core.Reply{Status: status, Body: core.Redirect{Leader: "peon-2"}}}
+		w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`)
 		if w.Code != status || w.Header().Get("Connection") != want {
 			t.Errorf("status %d, Connection %q; want %d, %q", w.Code, w.Header().Get("Connection"), status, want)
 		}
 	}
 	// With few sockets left a worker connects anew for each report; a user
 	// keeps the connection.
-	f := &fake{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, full: true}
-	if w := serve(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
+	f := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, nearSocketLimit: true}
+	if w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
 		t.Errorf("few sockets left: a worker is answered %d and keeps its connection", w.Code)
 	}
-	if w := serve(f, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
+	if w := serveRequest(f, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
 		t.Error("few sockets left: a user's connection is closed")
 	}
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -14,8 +14,8 @@
 
 // The form of a submission.
 
-// validID says whether id has the form of job ids: "req-" and digits.
-func validID(id string) bool {
+// isValidJobID says whether id has the form of job ids: "req-" and digits.
+func isValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "req-")
 	if !ok || len(digits) < 6 || len(digits) > 20 {
 		return false
@@ -28,8 +28,8 @@
 	return true
 }
 
-// required lists the fields of a submission that may not be left out.
-var required = []string{"id", "lane", "owner", "shape", "rank", "pieces", "cpus", "cards", "memoryGb",
+// requiredFields lists the fields of a submission that may not be left out.
+var requiredFields = []string{"id", "lane", "owner", "shape", "rank", "pieces", "cpus", "cards", "memoryGb",
 	"build", "pullGb", "samePlace", "scatter", "loaners", "guessS", "snapshotEveryS", "snapshotCostS"}
 
 // ParseJob reads a submission and checks its form.
@@ -38,7 +38,7 @@
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, errors.New("not a JSON object")
 	}
-	for _, f := range required {
+	for _, f := range requiredFields {
 		v, ok := fields[f]
 		if !ok || bytes.Equal(v, []byte("null")) {
 			return nil, fmt.Errorf("%s: missing", f)
@@ -55,7 +55,7 @@
 	if v, ok := fields["flavors"]; ok && !bytes.Equal(v, []byte("null")) && len(j.Types) == 0 {
 		return nil, errors.New("flavors: empty")
 	}
-	for _, check := range []func(*model.Job) error{checkWords, checkAmounts} {
+	for _, check := range []func(*model.Job) error{checkStrings, checkNumbers} {
 		if err := check(&j); err != nil {
 			return nil, err
 		}
@@ -63,18 +63,18 @@
 	return &j, nil
 }
 
-// maxWord bounds the names that users choose, in bytes.
-const maxWord = 200
+// maxNameBytes bounds the names that users choose, in bytes.
+const maxNameBytes = 200
 
-func validWord(s string) bool { return s != "" && len(s) <= maxWord }
+func isValidName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
-// checkWords checks the fields of a submission that hold words.
-func checkWords(j *model.Job) error {
+// checkStrings checks the fields of a submission that hold words.
+func checkStrings(j *model.Job) error {
 	for _, f := range []struct {
 		field string
 		valid bool
 	}{
-		{"id", validID(j.ID)}, {"lane", validWord(j.Class)}, {"owner", validWord(j.Team)}, {"build", validWord(j.Image)},
+		{"id", isValidJobID(j.ID)}, {"lane", isValidName(j.Class)}, {"owner", isValidName(j.Team)}, {"build", isValidName(j.Image)},
 		{"shape", slices.Contains([]string{model.KindBatch, model.KindService, model.KindGang}, j.Kind)},
 		{"rank", slices.Contains([]string{model.PriorityProd, model.PriorityHigh, model.PriorityNormal, model.PriorityLow}, j.Priority)},
 		{"flavors", !slices.Contains(j.Types, "")},
@@ -89,11 +89,11 @@
 // Bounds of the numbers in a submission.
 const (
 	maxTasks  = 100_000
-	maxAmount = 1e9
+	maxNumber = 1e9
 )
 
-// checkAmounts checks the fields of a submission that hold numbers.
-func checkAmounts(j *model.Job) error {
+// checkNumbers checks the fields of a submission that hold numbers.
+func checkNumbers(j *model.Job) error {
 	if j.Tasks < 1 || j.Tasks > maxTasks {
 		return fmt.Errorf("pieces: not within 1 and %d", maxTasks)
 	}
@@ -104,7 +104,7 @@
 		{"cpus", j.CPUs}, {"cards", j.GPUs}, {"memoryGb", j.MemoryGB}, {"pullGb", j.ImageGB},
 		{"guessS", j.EstimateS}, {"snapshotEveryS", j.CheckpointEveryS}, {"snapshotCostS", j.CheckpointCostS},
 	} {
-		if !(a.value >= 0) || a.value > maxAmount {
+		if !(a.value >= 0) || a.value > maxNumber {
 			return fmt.Errorf("%s: not valid", a.field)
 		}
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -23,7 +23,7 @@
 	Timeout time.Duration
 }
 
-const maxBody = 4 << 20
+const maxResponseBytes = 4 << 20
 
 type wireRent struct {
 	Request string `json:"hire"`
@@ -97,7 +97,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, fmt.Errorf("read: %w", err)
 	}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -13,8 +13,8 @@
 	"mulleinfall/internal/core"
 )
 
-// TestWire checks each call and answer against the protocol's own examples.
-func TestWire(t *testing.T) {
+// TestWireFormat checks each call and answer against the protocol's own examples.
+func TestWireFormat(t *testing.T) {
 	cases := []struct {
 		call    core.CloudCall
 		request string
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestBrokenAnswerIsUnknown: a rental whose answer is cut short may have been
+// TestBrokenResponseMeansUnknownOutcome: a rental whose answer is cut short may have been
 // made, so it must not pass for refused.
-func TestBrokenAnswerIsUnknown(t *testing.T) {
+func TestBrokenResponseMeansUnknownOutcome(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"hosts":["n-0002`)
 	}))
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,19 +8,19 @@
 
 // Least amounts with which the service can work.
 const (
-	leastMemoryMB     = 24 // some 20 MB are resident at rest
-	leastTxnOps       = 2  // a change and what is removed along with it
-	leastValueKB      = 6
-	leastNextValueKB  = 2 // a job's description and a bitmap's part still fit
-	leastReportsLease = 2 // reports in a lease
-	leastReportsGang  = 2 // reports while a gang's tasks wait for one another
-	mostLeasesGang    = 100
+	minMemoryMB           = 24 // some 20 MB are resident at rest
+	minTxnOps             = 2  // a change and what is removed along with it
+	minValueKB            = 6
+	minNextValueKB        = 2 // a job's description and a bitmap's part still fit
+	minReportsPerLease    = 2 // reports in a lease
+	minReportsPerGangWait = 2 // reports while a gang's tasks wait for one another
+	maxLeasesPerGangWait  = 100
 )
 
 // check looks at everything before anything runs. The error names field and
 // reason.
 func (p *Platform) check() error {
-	for _, part := range []func() error{p.checkAddresses, p.checkPeers, p.checkAmounts, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
+	for _, part := range []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
 		if err := part(); err != nil {
 			return err
 		}
@@ -33,7 +33,7 @@
 		return fmt.Errorf("node_name: missing")
 	}
 	for _, f := range []struct{ field, value string }{
-		{"api_addr", p.Listen}, {"back", p.PeerAddr}, {"endpoints.cloud", p.Services.Cloud}, {"endpoints.state", p.Services.State},
+		{"api_addr", p.APIAddr}, {"back", p.PeerAddr}, {"endpoints.cloud", p.Services.Cloud}, {"endpoints.state", p.Services.State},
 	} {
 		if f.value == "" {
 			return fmt.Errorf("%s: missing", f.field)
@@ -69,36 +69,36 @@
 	return nil
 }
 
-// amount is a number in the settings and the least that it may be.
-type amount struct {
+// numericField is a number in the settings and the least that it may be.
+type numericField struct {
 	field string
 	value float64
-	least float64
+	min   float64
 }
 
-func (p *Platform) checkAmounts() error {
+func (p *Platform) checkNumbers() error {
 	f := &p.Params
-	for _, a := range []amount{
+	for _, a := range []numericField{
 		{"facts.workers.report_s", f.Workers.ReportS, 0}, {"facts.workers.lease_s", f.Workers.LeaseS, 0}, {"facts.workers.cancel_s", f.Workers.CancelS, 0},
 		{"facts.state.rps", f.State.RPS, 0}, {"facts.state.write_rps", f.State.WriteRPS, 0},
-		{"facts.state.value_kb", f.State.ValueKB, leastValueKB}, {"facts.state.txn_ops", float64(f.State.TxnOps), leastTxnOps},
+		{"facts.state.value_kb", f.State.ValueKB, minValueKB}, {"facts.state.txn_ops", float64(f.State.TxnOps), minTxnOps},
 		{"facts.cloud.rps", f.Cloud.RPS, 0},
-		{"facts.quota.core_share", f.Limits.CoreShare, 0}, {"facts.quota.ram_mb", f.Limits.MemoryMB, leastMemoryMB},
+		{"facts.quota.core_share", f.Limits.CoreShare, 0}, {"facts.quota.ram_mb", f.Limits.MemoryMB, minMemoryMB},
 		{"facts.quota.fd_limit", float64(f.Limits.Files), 0},
 	} {
 		if !(a.value > 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is not above 0", a.field, a.value)
 		}
-		if a.value < a.least {
-			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.least)
+		if a.value < a.min {
+			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.min)
 		}
 	}
-	for _, a := range []amount{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: f.Cloud.ListLagS}} {
+	for _, a := range []numericField{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: f.Cloud.ListLagS}} {
 		if !(a.value >= 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
 		}
 	}
-	if f.Workers.LeaseS < leastReportsLease*f.Workers.ReportS {
+	if f.Workers.LeaseS < minReportsPerLease*f.Workers.ReportS {
 		return fmt.Errorf("facts.workers.lease_s: %v is less than two reports", f.Workers.LeaseS)
 	}
 	return nil
@@ -109,7 +109,7 @@
 func (p *Platform) checkGangTimes() error {
 	w := &p.Params.Workers
 	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
-	for _, a := range []amount{{field: wait, value: w.GangWaitS}, {field: peer, value: w.GangPeerS}} {
+	for _, a := range []numericField{{field: wait, value: w.GangWaitS}, {field: peer, value: w.GangPeerS}} {
 		if !(a.value >= 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
 		}
@@ -121,10 +121,10 @@
 		return fmt.Errorf("%s: missing beside gang_peer_s", wait)
 	case w.GangPeerS == 0:
 		return fmt.Errorf("%s: missing beside gang_wait_s", peer)
-	case w.GangWaitS < leastReportsGang*w.ReportS:
+	case w.GangWaitS < minReportsPerGangWait*w.ReportS:
 		return fmt.Errorf("%s: %v is less than two reports", wait, w.GangWaitS)
-	case w.GangWaitS > mostLeasesGang*w.LeaseS:
-		return fmt.Errorf("%s: %v is more than %d leases", wait, w.GangWaitS, mostLeasesGang)
+	case w.GangWaitS > maxLeasesPerGangWait*w.LeaseS:
+		return fmt.Errorf("%s: %v is more than %d leases", wait, w.GangWaitS, maxLeasesPerGangWait)
 	case w.GangPeerS > w.LeaseS:
 		return fmt.Errorf("%s: %v is longer than lease_s", peer, w.GangPeerS)
 	}
@@ -135,15 +135,15 @@
 // stands for no other than now.
 func (p *Platform) checkNextLimits() error {
 	next := &p.Params.State.Next
-	for _, a := range []amount{
-		{"facts.state.next.write_rps", next.WriteRPS, 0}, {"facts.state.next.value_kb", next.ValueKB, leastNextValueKB},
-		{"facts.state.next.txn_ops", float64(next.TxnOps), leastTxnOps},
+	for _, a := range []numericField{
+		{"facts.state.next.write_rps", next.WriteRPS, 0}, {"facts.state.next.value_kb", next.ValueKB, minNextValueKB},
+		{"facts.state.next.txn_ops", float64(next.TxnOps), minTxnOps},
 	} {
 		if !(a.value >= 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
 		}
-		if a.value > 0 && a.value < a.least {
-			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.least)
+		if a.value > 0 && a.value < a.min {
+			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.min)
 		}
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 // ignored: new ones may come.
 type Platform struct {
 	Name     string `json:"node_name"`
-	Listen   string `json:"api_addr"`
+	APIAddr  string `json:"api_addr"`
 	PeerAddr string `json:"back"`
 	Peers    []Peer `json:"others"`
 	Services struct {
@@ -91,8 +91,8 @@
 // Settings is everything, checked.
 type Settings struct {
 	Platform
-	Tuning core.Tuning
-	Budget time.Duration // of one round of decisions
+	Tuning      core.Tuning
+	RoundBudget time.Duration // of one round of decisions
 }
 
 // Load reads and checks both files; operator may be empty. The error is one
@@ -113,12 +113,12 @@
 	if err := s.Platform.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", platform, err)
 	}
-	if k := s.Sockets(); k.Public < k.Other {
+	if k := s.SocketLimits(); k.Public < k.Other {
 		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platform, s.Params.Limits.Files, len(s.Peers)+1)
 	}
-	s.Budget = seconds(s.Params.Workers.ReportS) / 30
+	s.RoundBudget = seconds(s.Params.Workers.ReportS) / 30
 	if operator != "" {
-		if err := s.readOperator(operator); err != nil {
+		if err := s.applyOperatorFile(operator); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const good = `{
+const validPlatform = `{
   "node_name": "c0", "domain": "a", "api_addr": "127.0.0.1:1", "back": "127.0.0.1:2", "news": [1],
   "others": [{"node_name": "c1", "domain": "b", "peer_addr": "127.0.0.1:3"}],
   "endpoints": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
@@ -19,7 +19,7 @@
     "quota": {"core_share": 0.2, "ram_mb": 100, "fd_limit": 1000}}
 }`
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -29,21 +29,21 @@
 }
 
 func TestLoad(t *testing.T) {
-	s, err := Load(write(t, "s.json", good), write(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
+	s, err := Load(writeFile(t, "s.json", validPlatform), writeFile(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Core(1)
+	c := s.CoreConfig(1)
 	if c.SkipLimit != 7 || c.IdleBoots != 3 || c.BitmapWriteInterval != 2*time.Second {
 		t.Errorf("operator's settings: %+v", c.Tuning)
 	}
-	if s.Budget != 100*time.Millisecond || c.Lease != 20*time.Second || c.Teams["t"].Limit.CPUs != 4 || len(c.Peers) != 1 {
-		t.Errorf("platform's settings: budget %v, %+v", s.Budget, c)
+	if s.RoundBudget != 100*time.Millisecond || c.Lease != 20*time.Second || c.Teams["t"].Limit.CPUs != 4 || len(c.Peers) != 1 {
+		t.Errorf("platform's settings: budget %v, %+v", s.RoundBudget, c)
 	}
 }
 
-// TestWrong expects one line that names file, field and reason.
-func TestWrong(t *testing.T) {
+// TestLoadRejectsInvalidSettings expects one line that names file, field and reason.
+func TestLoadRejectsInvalidSettings(t *testing.T) {
 	cases := []struct{ from, to, operator, want string }{
 		{`"node_name": "c0"`, `"node_name": ""`, "", "s.json: node_name: missing"},
 		{`"127.0.0.1:4"`, `"nowhere"`, "", `endpoints.cloud: "nowhere" is not host:port`},
@@ -73,26 +73,26 @@
 	for _, c := range cases {
 		op := ""
 		if c.operator != "" {
-			op = write(t, "o.hcl", c.operator)
+			op = writeFile(t, "o.hcl", c.operator)
 		}
-		_, err := Load(write(t, "s.json", strings.Replace(good, c.from, c.to, 1)), op)
+		_, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, c.from, c.to, 1)), op)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q -> %q: got %v, want one line with %q", c.from, c.to, err, c.want)
 		}
 	}
 }
 
-// TestSocketsAddUp: what the parts may take together is what there is, and all
+// TestSocketLimitsAddUp: what the parts may take together is what there is, and all
 // machines of a fleet find a socket at one controller: 1,785 machines once took
 // all the public ones.
-func TestSocketsAddUp(t *testing.T) {
+func TestSocketLimitsAddUp(t *testing.T) {
 	for _, files := range []int{100, 500, 1000, 1200, 2446, 3163, 100_000} {
 		for peers := range 5 {
 			var s Settings
 			s.Params.Limits.Files = files
 			s.Peers = make([]Peer, peers)
-			k := s.Sockets()
-			if sum := k.Public + k.Direct + k.Idle + k.Other; sum != files || k.Direct < 1 || k.Other < 16+6*peers {
+			k := s.SocketLimits()
+			if sum := k.Public + k.DirectCommands + k.IdleWorkers + k.Other; sum != files || k.DirectCommands < 1 || k.Other < 16+6*peers {
 				t.Errorf("%d sockets, %d peers: %+v make %d", files, peers, k, sum)
 			}
 			if files >= 1000 && k.Public < files*4/5 {
@@ -109,7 +109,7 @@
 		cancel string
 		want   bool
 	}{{"30", false}, {"24", false}, {"23", true}, {"20", true}, {"10", true}} {
-		s, err := Load(write(t, "s.json", strings.Replace(good, `"cancel_s": 30`, `"cancel_s": `+c.cancel, 1)), "")
+		s, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, `"cancel_s": 30`, `"cancel_s": `+c.cancel, 1)), "")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -7,9 +7,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// Core is the part of the settings that the core needs. Boot differs between
+// CoreConfig is the part of the settings that the core needs. Boot differs between
 // lives of the process.
-func (s *Settings) Core(boot uint64) core.Config {
+func (s *Settings) CoreConfig(boot uint64) core.Config {
 	p := &s.Params
 	c := core.Config{
 		Self: s.Name, Incarnation: boot, Teams: map[string]core.Team{},
@@ -20,10 +20,10 @@
 		GangWaitTimeout: seconds(p.Workers.GangWaitS), GangPeerTimeout: seconds(p.Workers.GangPeerS),
 		Version:  core.NewestVersion,
 		CloudRPS: p.Cloud.RPS, ListLag: seconds(p.Cloud.ListLagS),
-		MaxDirectCommands: s.Sockets().Direct, MaxRequests: s.Sockets().Public,
+		MaxDirectCommands: s.SocketLimits().DirectCommands, MaxRequests: s.SocketLimits().Public,
 		Tuning: s.Tuning, Goals: map[string]core.Goal{},
 	}
-	s.keepToNextLimits(&c)
+	s.applyNextLimits(&c)
 	s.addGoals(&c)
 	for _, o := range s.Peers {
 		c.Peers = append(c.Peers, o.Name)
@@ -39,17 +39,17 @@
 
 // Warnings are what the service can't promise with these settings.
 func (s *Settings) Warnings() []string {
-	c := s.Core(0)
+	c := s.CoreConfig(0)
 	if bound := c.CancelBound(); len(c.Peers) > 0 && bound > c.CancelWithin {
 		return []string{fmt.Sprintf("facts.workers.cancel_s: %v is less than the %v that tasks of a cancelled job may take to be gone under failures: at least six fifths of lease_s are needed", c.CancelWithin, bound)}
 	}
 	return nil
 }
 
-// keepToNextLimits takes the smaller of the state service's limits now and later
+// applyNextLimits takes the smaller of the state service's limits now and later
 // from the start: the change comes without notice, and a value that was too large
 // by then could not be written.
-func (s *Settings) keepToNextLimits(c *core.Config) {
+func (s *Settings) applyNextLimits(c *core.Config) {
 	next := &s.Params.State.Next
 	if next.WriteRPS > 0 {
 		c.StoreWriteRPS = min(c.StoreWriteRPS, next.WriteRPS)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,27 +9,27 @@
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// Operator is the operators' own file. Whatever it leaves out keeps its
+// OperatorSettings is the operators' own file. Whatever it leaves out keeps its
 // default.
-type Operator struct {
-	Dispatch *Dispatch `hcl:"dispatch,block"`
-	State    *State    `hcl:"state,block"`
-	Fleet    *Fleet    `hcl:"fleet,block"`
+type OperatorSettings struct {
+	Dispatch *DispatchSettings `hcl:"dispatch,block"`
+	State    *StateSettings    `hcl:"state,block"`
+	Fleet    *FleetSettings    `hcl:"fleet,block"`
 }
 
-// Dispatch tunes the dispatch rule.
-type Dispatch struct {
+// DispatchSettings tunes the dispatch rule.
+type DispatchSettings struct {
 	SkipLimit *int     `hcl:"skip_limit,optional"`
 	BudgetMS  *float64 `hcl:"budget_ms,optional"`
 }
 
-// State tunes what is written to the state service.
-type State struct {
+// StateSettings tunes what is written to the state service.
+type StateSettings struct {
 	WriteEveryS *float64 `hcl:"write_every_s,optional"`
 }
 
-// Fleet tunes renting and returning.
-type Fleet struct {
+// FleetSettings tunes renting and returning.
+type FleetSettings struct {
 	IdleBoots     *float64 `hcl:"idle_boots,optional"`
 	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`
 	Patience      *float64 `hcl:"patience,optional"`
@@ -42,8 +42,8 @@
 type setting[T int | float64] struct {
 	field string
 	value *T // nil: left out
-	least T
-	most  T
+	min   T
+	max   T
 	set   func(T)
 }
 
@@ -52,8 +52,8 @@
 	if s.value == nil {
 		return nil
 	}
-	if v := *s.value; !(v >= s.least && v <= s.most) {
-		return fmt.Errorf("%s: %v is not within %v and %v", s.field, v, s.least, s.most)
+	if v := *s.value; !(v >= s.min && v <= s.max) {
+		return fmt.Errorf("%s: %v is not within %v and %v", s.field, v, s.min, s.max)
 	}
 	s.set(*s.value)
 	return nil
@@ -61,21 +61,21 @@
 
 // Bounds of what operators may set.
 const (
-	shortestBudgetMS = 0.001
-	longestBudgetMS  = 10_000
-	shortestWriteS   = 0.001
-	longestWriteS    = 60
-	mostBoots        = 1_000_000
-	mostCount        = 1_000_000
+	minBudgetMS       = 0.001
+	maxBudgetMS       = 10_000
+	minWriteIntervalS = 0.001
+	maxWriteIntervalS = 60
+	maxBoots          = 1_000_000
+	maxCount          = 1_000_000
 )
 
-// readOperator puts the operators' file to use.
-func (s *Settings) readOperator(path string) error {
-	var o Operator
+// applyOperatorFile puts the operators' file to use.
+func (s *Settings) applyOperatorFile(path string) error {
+	var o OperatorSettings
 	if err := hclsimple.DecodeFile(path, nil, &o); err != nil {
-		return operatorError(path, err)
+		return singleLineError(path, err)
 	}
-	for _, apply := range s.operatorSettings(&o) {
+	for _, apply := range s.operatorAppliers(&o) {
 		if err := apply(); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// operatorError makes one line of what the parser says.
-func operatorError(path string, err error) error {
+// singleLineError makes one line of what the parser says.
+func singleLineError(path string, err error) error {
 	var diagnostics hcl.Diagnostics
 	if !errors.As(err, &diagnostics) || len(diagnostics) == 0 {
 		return err
@@ -97,29 +97,29 @@
 	return fmt.Errorf("%s: %s: %s", where, d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
 }
 
-// operatorSettings lists the checks of all that the file may set.
-func (s *Settings) operatorSettings(o *Operator) []func() error {
+// operatorAppliers lists the checks of all that the file may set.
+func (s *Settings) operatorAppliers(o *OperatorSettings) []func() error {
 	t := &s.Tuning
 	var list []func() error
 	if d := o.Dispatch; d != nil {
 		list = append(list,
-			setting[int]{"dispatch.skip_limit", d.SkipLimit, 0, mostCount, func(v int) { t.SkipLimit = v }}.apply,
-			setting[float64]{"dispatch.budget_ms", d.BudgetMS, shortestBudgetMS, longestBudgetMS, func(v float64) { s.Budget = seconds(v / 1000) }}.apply,
+			setting[int]{"dispatch.skip_limit", d.SkipLimit, 0, maxCount, func(v int) { t.SkipLimit = v }}.apply,
+			setting[float64]{"dispatch.budget_ms", d.BudgetMS, minBudgetMS, maxBudgetMS, func(v float64) { s.RoundBudget = seconds(v / 1000) }}.apply,
 		)
 	}
 	if d := o.State; d != nil {
 		list = append(list,
-			setting[float64]{"state.write_every_s", d.WriteEveryS, shortestWriteS, longestWriteS, func(v float64) { t.BitmapWriteInterval = seconds(v) }}.apply,
+			setting[float64]{"state.write_every_s", d.WriteEveryS, minWriteIntervalS, maxWriteIntervalS, func(v float64) { t.BitmapWriteInterval = seconds(v) }}.apply,
 		)
 	}
 	if f := o.Fleet; f != nil {
 		list = append(list,
-			setting[float64]{"fleet.idle_boots", f.IdleBoots, 0, mostBoots, func(v float64) { t.IdleBoots = v }}.apply,
-			setting[float64]{"fleet.give_up_boots", f.GiveUpBoots, 1, mostBoots, func(v float64) { t.GiveUpBoots = v }}.apply,
+			setting[float64]{"fleet.idle_boots", f.IdleBoots, 0, maxBoots, func(v float64) { t.IdleBoots = v }}.apply,
+			setting[float64]{"fleet.give_up_boots", f.GiveUpBoots, 1, maxBoots, func(v float64) { t.GiveUpBoots = v }}.apply,
 			setting[float64]{"fleet.patience", f.Patience, 0, 1, func(v float64) { t.Patience = v }}.apply,
-			setting[int]{"fleet.spare_services", f.SpareServices, 0, mostCount, func(v int) { t.SpareServices = v }}.apply,
-			setting[int]{"fleet.spare_gangs", f.SpareGangs, 0, mostCount, func(v int) { t.SpareGangs = v }}.apply,
-			setting[int]{"fleet.max_machines", f.MaxMachines, 1, mostCount, func(v int) { t.MaxMachines = v }}.apply,
+			setting[int]{"fleet.spare_services", f.SpareServices, 0, maxCount, func(v int) { t.SpareServices = v }}.apply,
+			setting[int]{"fleet.spare_gangs", f.SpareGangs, 0, maxCount, func(v int) { t.SpareGangs = v }}.apply,
+			setting[int]{"fleet.max_machines", f.MaxMachines, 1, maxCount, func(v int) { t.MaxMachines = v }}.apply,
 		)
 	}
 	return list
--- a/internal/direct/direct_linux.go
+++ b/internal/direct/direct_linux.go
@@ -13,9 +13,9 @@
 	"unsafe"
 )
 
-// Conn is c with direct reads and writes, or c itself where it has no socket of
+// Wrap is c with direct reads and writes, or c itself where it has no socket of
 // that kind.
-func Conn(c net.Conn) net.Conn {
+func Wrap(c net.Conn) net.Conn {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return c
@@ -32,9 +32,9 @@
 	raw syscall.RawConn
 }
 
-// call makes one system call on the socket as often as it takes, and waits by
+// retrySyscall makes one system call on the socket as often as it takes, and waits by
 // way of wait (the raw connection's Read or Write) while it would block.
-func call(wait func(func(fd uintptr) bool) error, number uintptr, p []byte) (int, error) {
+func retrySyscall(wait func(func(fd uintptr) bool) error, number uintptr, p []byte) (int, error) {
 	var n uintptr
 	var errno syscall.Errno
 	err := wait(func(fd uintptr) bool {
@@ -58,7 +58,7 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	n, err := call(c.raw.Read, syscall.SYS_READ, p)
+	n, err := retrySyscall(c.raw.Read, syscall.SYS_READ, p)
 	if n == 0 && err == nil {
 		err = io.EOF
 	}
@@ -68,7 +68,7 @@
 func (c *conn) Write(p []byte) (int, error) {
 	done := 0
 	for done < len(p) {
-		n, err := call(c.raw.Write, syscall.SYS_WRITE, p[done:])
+		n, err := retrySyscall(c.raw.Write, syscall.SYS_WRITE, p[done:])
 		if err != nil {
 			return done, err
 		}
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// pair is a connection over loopback, its near end direct.
-func pair(t *testing.T) (near, far net.Conn) {
+// connPair is a connection over loopback, its near end direct.
+func connPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,16 +26,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	near = Conn(c)
+	near = Wrap(c)
 	t.Cleanup(func() { near.Close(); far.Close() })
 	return near, far
 }
 
-// TestReadsAndWrites: a direct connection does what any other does: it carries
+// TestWrappedConnBehavesLikeOriginal: a direct connection does what any other does: it carries
 // more than a socket's buffers hold, waits for what has not come, ends with
 // io.EOF and keeps its deadlines.
-func TestReadsAndWrites(t *testing.T) {
-	near, far := pair(t)
+func TestWrappedConnBehavesLikeOriginal(t *testing.T) {
+	near, far := connPair(t)
 	want := bytes.Repeat([]byte("0123456789abcdef"), 1<<18) // 4 MiB
 	sent := make(chan error, 1)
 	go func() { _, err := near.Write(want); sent <- err }()
@@ -51,7 +51,7 @@
 		t.Fatalf("read: %v, alike: %v", err, bytes.Equal(got, want))
 	}
 
-	near, _ = pair(t)
+	near, _ = connPair(t)
 	if err := near.SetDeadline(time.Now().Add(-time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,8 +25,8 @@
 // peer that is slow or out of reach is dropped beyond the limit: promises are
 // asked for again within a second, news comes by the state service as well.
 const (
-	maxFrame = 1 << 20
-	maxQueue = 256
+	maxFrameBytes     = 1 << 20
+	maxQueuedMessages = 256
 )
 
 // envelope is a frame: who sends it, and the message.
@@ -44,7 +44,7 @@
 
 // NewLink makes a link from self to the peer at addr; Run serves it.
 func NewLink(self, addr string, timeout time.Duration) *Link {
-	return &Link{self: self, addr: addr, timeout: timeout, queue: make(chan core.PeerMsg, maxQueue)}
+	return &Link{self: self, addr: addr, timeout: timeout, queue: make(chan core.PeerMsg, maxQueuedMessages)}
 }
 
 // Send queues a message, or drops it when the peer can't keep up.
@@ -82,10 +82,10 @@
 			c, err := d.DialContext(ctx, "tcp", l.addr)
 			if err != nil {
 				slog.Debug("peer not reached", "peer", l.addr, "error", err)
-				l.drain()
+				l.dropQueue()
 				continue
 			}
-			conn = direct.Conn(c)
+			conn = direct.Wrap(c)
 		}
 		if err := conn.SetWriteDeadline(time.Now().Add(l.timeout)); err == nil {
 			_, err = conn.Write(b)
@@ -97,9 +97,9 @@
 	}
 }
 
-// drain forgets what has piled up for a peer that can't be reached: by the
+// dropQueue forgets what has piled up for a peer that can't be reached: by the
 // time it can be, it would be stale.
-func (l *Link) drain() {
+func (l *Link) dropQueue() {
 	for {
 		select {
 		case <-l.queue:
@@ -114,14 +114,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxFrame {
+	if len(body) > maxFrameBytes {
 		return nil, fmt.Errorf("frame of %d bytes is too long", len(body))
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...), nil
 }
 
-// Read takes frames from a connection until it ends.
-func Read(r io.Reader, deliver func(from string, m core.PeerMsg)) error {
+// ReadFrames takes frames from a connection until it ends.
+func ReadFrames(r io.Reader, deliver func(from string, m core.PeerMsg)) error {
 	br := bufio.NewReader(r)
 	var head [4]byte
 	for {
@@ -132,7 +132,7 @@
 			return err
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n > maxFrame {
+		if n > maxFrameBytes {
 			return fmt.Errorf("frame of %d bytes is too long", n)
 		}
 		body := make([]byte, n)
@@ -165,7 +165,7 @@
 		}
 		go func() {
 			defer conn.Close()
-			if err := Read(direct.Conn(conn), deliver); err != nil {
+			if err := ReadFrames(direct.Wrap(conn), deliver); err != nil {
 				slog.Debug("peer connection ended", "error", err)
 			}
 		}()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,7 +24,7 @@
 		wire.Write(b)
 	}
 	var got []core.PeerMsg
-	if err := Read(&wire, func(from string, m core.PeerMsg) {
+	if err := ReadFrames(&wire, func(from string, m core.PeerMsg) {
 		if from != "n0" {
 			t.Errorf("from %q", from)
 		}
@@ -43,7 +43,7 @@
 		"cut short": {0, 0, 0, 9, 1},
 		"garbage":   {0, 0, 0, 2, 0xc1, 0xc1},
 	} {
-		if err := Read(bytes.NewReader(b), func(string, core.PeerMsg) { t.Errorf("%s: delivered", name) }); err == nil {
+		if err := ReadFrames(bytes.NewReader(b), func(string, core.PeerMsg) { t.Errorf("%s: delivered", name) }); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -21,29 +21,29 @@
 	HTTP *http.Client
 }
 
-// maxBody bounds an answer: a page holds 512 KiB at most, a watch can hold
+// maxResponseBytes bounds an answer: a page holds 512 KiB at most, a watch can hold
 // many changes.
-const maxBody = 16 << 20
+const maxResponseBytes = 16 << 20
 
 type wireItem struct {
-	Key    string          `json:"k"`
-	Value  json.RawMessage `json:"value"`
-	Stamp  uint64          `json:"stamp"`
-	Set    string          `json:"set"`
-	Remove string          `json:"remove"`
+	Key         string          `json:"k"`
+	Value       json.RawMessage `json:"value"`
+	ModRevision uint64          `json:"stamp"`
+	Set         string          `json:"set"`
+	Remove      string          `json:"remove"`
 }
 
-type wireAnswer struct {
-	Rev    uint64     `json:"ledgerRev"`
-	Items  []wireItem `json:"items"`
-	More   bool       `json:"truncated"`
-	News   []wireItem `json:"news"`
-	Lease  uint64     `json:"tether"`
-	Failed []string   `json:"failed"`
-	Error  string     `json:"error"`
+type wireResponse struct {
+	Revision uint64     `json:"ledgerRev"`
+	Items    []wireItem `json:"items"`
+	More     bool       `json:"truncated"`
+	Changes  []wireItem `json:"news"`
+	Lease    uint64     `json:"tether"`
+	Failed   []string   `json:"failed"`
+	Error    string     `json:"error"`
 }
 
-type wireGuard struct {
+type wirePrecondition struct {
 	Key         string `json:"k"`
 	ModRevision uint64 `json:"stamp"`
 }
@@ -56,8 +56,8 @@
 }
 
 type wireTxn struct {
-	Guards []wireGuard  `json:"guards"`
-	Then   []wireChange `json:"then"`
+	Preconditions []wirePrecondition `json:"guards"`
+	Changes       []wireChange       `json:"then"`
 }
 
 // Do carries a call out.
@@ -70,10 +70,10 @@
 		done.Err = err.Error()
 		return done // whatever arrived: the outcome is not known
 	}
-	done.Status, done.Err, done.Revision = status, ans.Error, ans.Rev
+	done.Status, done.Err, done.Revision = status, ans.Error, ans.Revision
 	done.More, done.Lease, done.FailedKeys = ans.More, ans.Lease, ans.Failed
-	for _, it := range append(ans.Items, ans.News...) {
-		item := core.Item{Key: it.Key, Value: it.Value, ModRevision: it.Stamp}
+	for _, it := range append(ans.Items, ans.Changes...) {
+		item := core.Item{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision}
 		if it.Set != "" {
 			item.Key = it.Set
 		}
@@ -117,22 +117,22 @@
 }
 
 func encodeTxn(call core.StoreCall) wireTxn {
-	t := wireTxn{Guards: []wireGuard{}, Then: []wireChange{}}
+	t := wireTxn{Preconditions: []wirePrecondition{}, Changes: []wireChange{}}
 	for _, g := range call.Preconditions {
-		t.Guards = append(t.Guards, wireGuard(g))
+		t.Preconditions = append(t.Preconditions, wirePrecondition(g))
 	}
 	for _, ch := range call.Changes {
 		if ch.Remove {
-			t.Then = append(t.Then, wireChange{Remove: ch.Key})
+			t.Changes = append(t.Changes, wireChange{Remove: ch.Key})
 		} else {
-			t.Then = append(t.Then, wireChange{Set: ch.Key, Value: ch.Value, Lease: ch.Lease})
+			t.Changes = append(t.Changes, wireChange{Set: ch.Key, Value: ch.Value, Lease: ch.Lease})
 		}
 	}
 	return t
 }
 
 // exchange sends a call and reads its answer.
-func (c *Client) exchange(ctx context.Context, call core.StoreCall) (int, *wireAnswer, error) {
+func (c *Client) exchange(ctx context.Context, call core.StoreCall) (int, *wireResponse, error) {
 	out, err := encode(call)
 	if err != nil {
 		return 0, nil, err
@@ -157,8 +157,8 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	var ans wireAnswer
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	var ans wireResponse
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("read: %w", err)
 	}
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -13,8 +13,8 @@
 	"mulleinfall/internal/core"
 )
 
-// TestWire checks each call and answer against the protocol's own examples.
-func TestWire(t *testing.T) {
+// TestWireFormat checks each call and answer against the protocol's own examples.
+func TestWireFormat(t *testing.T) {
 	cases := []struct {
 		call         core.StoreCall
 		request      string // method, path and body
@@ -71,9 +71,9 @@
 
 func jsonInt(v uint64) string { b, _ := json.Marshal(v); return string(b) }
 
-// TestNoAnswerIsUnknown: a broken answer must not pass for a refusal, since
+// TestBrokenResponseMeansUnknownOutcome: a broken answer must not pass for a refusal, since
 // the change may have been made.
-func TestNoAnswerIsUnknown(t *testing.T) {
+func TestBrokenResponseMeansUnknownOutcome(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, `{"ledgerRev":`)
--- a/internal/web/limit_test.go
+++ b/internal/web/limit_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// TestPublicSocketsAreBounded: beyond the share of the public side connections
+// TestLimitedListenerClosesExcessConnections: beyond the share of the public side connections
 // are closed at once, so that the others find their sockets; before that the
 // listener says that it is crowded.
-func TestPublicSocketsAreBounded(t *testing.T) {
+func TestLimitedListenerClosesExcessConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer inner.Close()
-	l := Limit(inner, 4)
+	l := LimitListener(inner, 4)
 	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
@@ -38,8 +38,8 @@
 	}
 	var open []net.Conn
 	for i := range 4 {
-		if l.Crowded() != (i >= 3) {
-			t.Errorf("crowded with %d of 4 taken: %v", i, l.Crowded())
+		if l.IsNearLimit() != (i >= 3) {
+			t.Errorf("crowded with %d of 4 taken: %v", i, l.IsNearLimit())
 		}
 		dial()
 		open = append(open, <-accepted)
--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -28,9 +28,9 @@
 // Limits of a connection. Requests are mostly a few hundred bytes, so that one
 // read takes a whole one; a longer body passes the buffer by.
 const (
-	readBuffer = 2 << 10
-	maxHeader  = 16 << 10
-	maxUnread  = 4 << 10 // of a body that its handler left; beyond it the connection ends
+	readBufferBytes = 2 << 10
+	maxHeaderBytes  = 16 << 10
+	maxUnreadBytes  = 4 << 10 // of a body that its handler left; beyond it the connection ends
 )
 
 // Server answers the requests of a listener's connections, one at a time each.
@@ -40,36 +40,36 @@
 	// of it at least remains for that request's bytes and its answer.
 	Timeout time.Duration
 
-	// gate lets requests in one after the other, each until its handler has
+	// admission lets requests in one after the other, each until its handler has
 	// handed it on (Next). When hundreds of machines report at once, on a slow
 	// processor, each would otherwise be read and decoded before the one
 	// goroutine that decides got its turn again, and a leader missed its own
 	// renewals.
-	gate sync.Mutex
+	admission sync.Mutex
 }
 
-// Next tells the server of w that what its request asks for has been handed on,
+// AdmitNext tells the server of w that what its request asks for has been handed on,
 // so that the next request may pass while this one waits for its answer.
-func Next(w http.ResponseWriter) {
-	if a := answerOf(w); a != nil {
-		a.next()
+func AdmitNext(w http.ResponseWriter) {
+	if a := responseOf(w); a != nil {
+		a.admitNext()
 	}
 }
 
-// Arrived is when the request that w answers came; the zero time where that
+// ArrivedAt is when the request that w answers came; the zero time where that
 // isn't known.
-func Arrived(w http.ResponseWriter) time.Time {
-	if a := answerOf(w); a != nil {
-		return a.arrived
+func ArrivedAt(w http.ResponseWriter) time.Time {
+	if a := responseOf(w); a != nil {
+		return a.arrivedAt
 	}
 	return time.Time{}
 }
 
-// answerOf finds this package's writer behind those that handlers put round it.
-func answerOf(w http.ResponseWriter) *answer {
+// responseOf finds this package's writer behind those that handlers put round it.
+func responseOf(w http.ResponseWriter) *response {
 	for {
 		switch v := w.(type) {
-		case *answer:
+		case *response:
 			return v
 		case interface{ Unwrap() http.ResponseWriter }:
 			w = v.Unwrap()
@@ -85,7 +85,7 @@
 		c, err := ln.Accept()
 		switch {
 		case err == nil:
-			go s.serve(c)
+			go s.serveConn(c)
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return err
 		default:
@@ -100,18 +100,18 @@
 	}
 }
 
-// serve answers a connection's requests until one side ends it.
-func (s *Server) serve(c net.Conn) {
+// serveConn answers a connection's requests until one side ends it.
+func (s *Server) serveConn(c net.Conn) {
 	defer c.Close()
-	a := &answer{header: http.Header{}}
+	a := &response{header: http.Header{}}
 	defer func() {
-		a.next()                      // whatever ended it: the others wait at the gate
+		a.admitNext()                 // whatever ended it: the others wait at the gate
 		if r := recover(); r != nil { // one request must not end the process
 			slog.Error("handler failed", "panic", r, "stack", string(debug.Stack()))
 		}
 	}()
-	in := &head{r: c}
-	br := bufio.NewReaderSize(in, readBuffer)
+	in := &headReader{r: c}
+	br := bufio.NewReaderSize(in, readBufferBytes)
 	for {
 		// Connections across a cut stay open at this end only: without a limit
 		// they would use up the sockets.
@@ -119,94 +119,94 @@
 		if c.SetDeadline(began.Add(s.Timeout)) != nil {
 			return
 		}
-		in.left = maxHeader
-		req, err := s.read(br, a)
+		in.remaining = maxHeaderBytes
+		req, err := s.readRequest(br, a)
 		if err != nil {
-			if status := in.refusal(err); status != 0 {
-				a.refuse(status)
+			if status := in.rejectStatus(err); status != 0 {
+				a.reject(status)
 				_ = a.send(c, false)
 			}
 			return
 		}
-		in.left = -1
-		if a.arrived.Sub(began) > s.Timeout/2 {
+		in.remaining = -1
+		if a.arrivedAt.Sub(began) > s.Timeout/2 {
 			// It has come late in the time of its connection, and needs some of its own.
-			if c.SetDeadline(a.arrived.Add(s.Timeout)) != nil {
+			if c.SetDeadline(a.arrivedAt.Add(s.Timeout)) != nil {
 				return
 			}
 		}
 		a.reset(req.Close || !req.ProtoAtLeast(1, 1))
 		switch {
 		case req.Host == "" && req.ProtoAtLeast(1, 1):
-			a.refuse(http.StatusBadRequest)
+			a.reject(http.StatusBadRequest)
 		case req.Header.Get("Expect") != "" && req.Header.Get("Expect") != "100-continue":
-			a.refuse(http.StatusExpectationFailed)
+			a.reject(http.StatusExpectationFailed)
 		default:
 			if req.Header.Get("Expect") != "" {
-				a.next() // the client may be slow to take even that
+				a.admitNext() // the client may be slow to take even that
 				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return
 				}
 			}
 			s.Handler.ServeHTTP(a, req)
 		}
-		a.next()
-		if a.send(c, req.Method == http.MethodHead) != nil || a.last() {
+		a.admitNext()
+		if a.send(c, req.Method == http.MethodHead) != nil || a.isLast() {
 			return
 		}
-		if n, err := io.CopyN(io.Discard, req.Body, maxUnread); n == maxUnread || !errors.Is(err, io.EOF) {
+		if n, err := io.CopyN(io.Discard, req.Body, maxUnreadBytes); n == maxUnreadBytes || !errors.Is(err, io.EOF) {
 			return // what is left of it would be read as the next request
 		}
 	}
 }
 
-// read takes the next request. Only one that has arrived as a whole holds the
+// readRequest takes the next request. Only one that has arrived as a whole holds the
 // gate: nobody is kept waiting by a client that is slow.
-func (s *Server) read(br *bufio.Reader, a *answer) (*http.Request, error) {
+func (s *Server) readRequest(br *bufio.Reader, a *response) (*http.Request, error) {
 	if _, err := br.Peek(1); err != nil {
 		return nil, err
 	}
-	a.arrived = time.Now()
+	a.arrivedAt = time.Now()
 	if there, _ := br.Peek(br.Buffered()); bytes.Contains(there, headEnd) {
-		s.gate.Lock()
-		a.gate = &s.gate
+		s.admission.Lock()
+		a.admission = &s.admission
 	}
 	req, err := http.ReadRequest(br)
 	if err != nil || req.ContentLength < 0 || req.ContentLength > int64(br.Buffered()) {
-		a.next()
+		a.admitNext()
 	}
 	return req, err
 }
 
 var headEnd = []byte("\r\n\r\n")
 
-// head bounds what a request's head may hold: without end, one would fill the
+// headReader bounds what a request's head may hold: without end, one would fill the
 // memory. left below 0: no bound.
-type head struct {
-	r    io.Reader
-	left int
+type headReader struct {
+	r         io.Reader
+	remaining int
 }
 
-var errTooLong = errors.New("request head too long")
+var errHeadTooLong = errors.New("request head too long")
 
-func (h *head) Read(p []byte) (int, error) {
-	if h.left < 0 {
+func (h *headReader) Read(p []byte) (int, error) {
+	if h.remaining < 0 {
 		return h.r.Read(p)
 	}
-	if h.left == 0 {
-		return 0, errTooLong
+	if h.remaining == 0 {
+		return 0, errHeadTooLong
 	}
-	n, err := h.r.Read(p[:min(len(p), h.left)])
-	h.left -= n
+	n, err := h.r.Read(p[:min(len(p), h.remaining)])
+	h.remaining -= n
 	return n, err
 }
 
-// refusal is the status for a request that could not be read; 0 where nobody
+// rejectStatus is the status for a request that could not be read; 0 where nobody
 // is left to be told or nothing was asked.
-func (h *head) refusal(err error) int {
+func (h *headReader) rejectStatus(err error) int {
 	var network net.Error
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errHeadTooLong):
 		return http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
 		return 0
@@ -214,77 +214,77 @@
 	return http.StatusBadRequest
 }
 
-// answer is the http.ResponseWriter of a connection. An answer goes out in one
+// response is the http.ResponseWriter of a connection. An answer goes out in one
 // write, with its length.
-type answer struct {
-	arrived time.Time   // of the request
-	gate    *sync.Mutex // held, or nil
+type response struct {
+	arrivedAt time.Time   // of the request
+	admission *sync.Mutex // held, or nil
 
 	header http.Header
 	status int
 	body   bytes.Buffer
-	out    bytes.Buffer
+	output bytes.Buffer
 }
 
-// maxKept is what a connection's buffers may keep from one answer to the next.
-const maxKept = 4 << 10
+// maxKeptBytes is what a connection's buffers may keep from one answer to the next.
+const maxKeptBytes = 4 << 10
 
-func (a *answer) reset(last bool) {
+func (a *response) reset(last bool) {
 	clear(a.header)
 	a.status = 0
-	if a.body.Cap() > maxKept {
+	if a.body.Cap() > maxKeptBytes {
 		a.body = bytes.Buffer{}
 	}
-	if a.out.Cap() > maxKept {
-		a.out = bytes.Buffer{}
+	if a.output.Cap() > maxKeptBytes {
+		a.output = bytes.Buffer{}
 	}
 	a.body.Reset()
-	a.out.Reset()
+	a.output.Reset()
 	if last {
 		a.header.Set("Connection", "close")
 	}
 }
 
-func (a *answer) next() {
-	if a.gate != nil {
-		a.gate.Unlock()
-		a.gate = nil
+func (a *response) admitNext() {
+	if a.admission != nil {
+		a.admission.Unlock()
+		a.admission = nil
 	}
 }
 
-func (a *answer) Header() http.Header { return a.header }
+func (a *response) Header() http.Header { return a.header }
 
-func (a *answer) WriteHeader(status int) {
+func (a *response) WriteHeader(status int) {
 	if a.status == 0 {
 		a.status = status
 	}
 }
 
-func (a *answer) Write(b []byte) (int, error) {
+func (a *response) Write(b []byte) (int, error) {
 	a.WriteHeader(http.StatusOK)
 	return a.body.Write(b)
 }
 
-// refuse answers a request that no handler gets to see, and ends the connection.
-func (a *answer) refuse(status int) {
+// reject answers a request that no handler gets to see, and ends the connection.
+func (a *response) reject(status int) {
 	a.reset(true)
 	a.WriteHeader(status)
 }
 
-// last says whether the connection ends with this answer.
-func (a *answer) last() bool { return a.header.Get("Connection") == "close" }
+// isLast says whether the connection ends with this answer.
+func (a *response) isLast() bool { return a.header.Get("Connection") == "close" }
 
-func (a *answer) send(c net.Conn, headOnly bool) error {
+func (a *response) send(c net.Conn, headOnly bool) error {
 	a.WriteHeader(http.StatusOK)
-	fmt.Fprintf(&a.out, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
+	fmt.Fprintf(&a.output, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
 	a.header.Set("Content-Length", strconv.Itoa(a.body.Len()))
-	if err := a.header.Write(&a.out); err != nil {
+	if err := a.header.Write(&a.output); err != nil {
 		return err
 	}
-	a.out.WriteString("\r\n")
+	a.output.WriteString("\r\n")
 	if !headOnly {
-		a.out.Write(a.body.Bytes())
+		a.output.Write(a.body.Bytes())
 	}
-	_, err := c.Write(a.out.Bytes())
+	_, err := c.Write(a.output.Bytes())
 	return err
 }
--- a/internal/web/web_test.go
+++ b/internal/web/web_test.go
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// script is a connection whose other side has said all it will say.
-type script struct {
+// scriptedConn is a connection whose other side has said all it will say.
+type scriptedConn struct {
 	net.Conn
-	in  io.Reader
-	out bytes.Buffer
+	input  io.Reader
+	output bytes.Buffer
 }
 
-func (s *script) Read(p []byte) (int, error)    { return s.in.Read(p) }
-func (s *script) Write(p []byte) (int, error)   { return s.out.Write(p) }
-func (s *script) Close() error                  { return nil }
-func (s *script) SetDeadline(_ time.Time) error { return nil }
+func (s *scriptedConn) Read(p []byte) (int, error)    { return s.input.Read(p) }
+func (s *scriptedConn) Write(p []byte) (int, error)   { return s.output.Write(p) }
+func (s *scriptedConn) Close() error                  { return nil }
+func (s *scriptedConn) SetDeadline(_ time.Time) error { return nil }
 
-// echo answers with the method, the path and the body; /leave leaves the body
+// echoHandler answers with the method, the path and the body; /leave leaves the body
 // unread, /last ends the connection, /fail panics.
-var echo = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+var echoHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	var body []byte
 	switch r.URL.Path {
 	case "/leave":
@@ -44,14 +44,14 @@
 	w.Write([]byte(r.Method + " " + r.URL.Path + " " + string(body)))
 })
 
-// talk gives the answers to what one client says on one connection, each as
+// responsesTo gives the answers to what one client says on one connection, each as
 // its status and body.
-func talk(t *testing.T, said string) []string {
+func responsesTo(t *testing.T, said string) []string {
 	t.Helper()
-	c := &script{in: strings.NewReader(said)}
-	(&Server{Handler: echo, Timeout: time.Second}).serve(c)
+	c := &scriptedConn{input: strings.NewReader(said)}
+	(&Server{Handler: echoHandler, Timeout: time.Second}).serveConn(c)
 	var got []string
-	br := bufio.NewReader(&c.out)
+	br := bufio.NewReader(&c.output)
 	for {
 		method := http.MethodGet
 		if strings.HasPrefix(said, "HEAD") {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestConversations: what a client may say on a connection, and where it ends.
-func TestConversations(t *testing.T) {
+// TestRequestsOnOneConnection: what a client may say on a connection, and where it ends.
+func TestRequestsOnOneConnection(t *testing.T) {
 	const host = " HTTP/1.1\r\nHost: x\r\n"
 	post := func(path, body string) string {
 		return "POST " + path + host + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
@@ -86,7 +86,7 @@
 		{"one after the other", get + post("/b", "hello") + get, "202 GET /a|202 POST /b hello|202 GET /a"},
 		{"in pieces", "POST /b" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get, "202 POST /b abc|202 GET /a"},
 		{"a body that its handler left", post("/leave", "unread") + get, "202 POST /leave|202 GET /a"},
-		{"too much left", post("/leave", strings.Repeat("x", 2*maxUnread)) + get, "202 POST /leave"},
+		{"too much left", post("/leave", strings.Repeat("x", 2*maxUnreadBytes)) + get, "202 POST /leave"},
 		{"the handler ends it", post("/last", "") + get, "202 POST /last"},
 		{"the client ends it", "GET /a" + host + "Connection: close\r\n\r\n" + get, "202 GET /a"},
 		{"an old client", "GET /a HTTP/1.0\r\n\r\n" + get, "202 GET /a"},
@@ -96,21 +96,21 @@
 		{"no request", "what?\r\n\r\n", "400"},
 		{"nothing", "", ""},
 		{"cut off", "GET /a HTT", "400"},
-		{"a head without end", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeader), "431"},
+		{"a head without end", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeaderBytes), "431"},
 		{"an expectation", "POST /b" + host + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok", "100|202 POST /b ok"},
 		{"another expectation", "POST /b" + host + "Expect: tea\r\nContent-Length: 2\r\n\r\nok", "417"},
 	}
 	for _, c := range cases {
-		if got := strings.Join(talk(t, c.said), "|"); got != c.want {
+		if got := strings.Join(responsesTo(t, c.said), "|"); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// TestOneAtATime: a request that has arrived waits until the one before has
+// TestRequestsAreAdmittedOneAtATime: a request that has arrived waits until the one before has
 // been handed on, and no longer; a client that is slow holds nobody up, nor does
 // a handler that fails.
-func TestOneAtATime(t *testing.T) {
+func TestRequestsAreAdmittedOneAtATime(t *testing.T) {
 	began, hand, finish := make(chan string, 4), make(chan bool), make(chan bool)
 	s := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began <- r.URL.Path
@@ -118,13 +118,13 @@
 			panic("on purpose")
 		}
 		<-hand
-		Next(wrapped{w})
+		AdmitNext(wrappedWriter{w})
 		<-finish
 	})}
 	connect := func(say string) net.Conn {
 		here, there := net.Pipe()
 		t.Cleanup(func() { here.Close() })
-		go s.serve(there)
+		go s.serveConn(there)
 		if _, err := here.Write([]byte(say)); err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 		t.Fatalf("%s began, want /one", got)
 	}
 	two := connect("GET /two HTTP/1.1\r\nHost: x\r\n\r\n")
-	if s.gate.TryLock() {
+	if s.admission.TryLock() {
 		t.Error("the gate is open though nothing has been handed on")
 	}
 	if len(began) != 0 {
@@ -160,37 +160,37 @@
 	}
 }
 
-// TestGateIsFreeInTheEnd: a connection that breaks while it holds the gate gives
+// TestBrokenConnectionReleasesAdmission: a connection that breaks while it holds the gate gives
 // it back.
-func TestGateIsFreeInTheEnd(t *testing.T) {
-	s := &Server{Timeout: time.Hour, Handler: echo}
+func TestBrokenConnectionReleasesAdmission(t *testing.T) {
+	s := &Server{Timeout: time.Hour, Handler: echoHandler}
 	for _, said := range []string{
 		"POST /b HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok",
 		"GET /a HTTP/1.1\r\nHost: x\r\n\r\n",
 		"POST /fail HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
-		s.serve(&broken{script{in: strings.NewReader(said)}})
-		if !s.gate.TryLock() {
+		s.serveConn(&brokenConn{scriptedConn{input: strings.NewReader(said)}})
+		if !s.admission.TryLock() {
 			t.Fatalf("the gate is held for ever after %q", said)
 		}
-		s.gate.Unlock()
+		s.admission.Unlock()
 	}
 }
 
-// broken is a connection that takes nothing.
-type broken struct{ script }
+// brokenConn is a connection that takes nothing.
+type brokenConn struct{ scriptedConn }
 
-func (*broken) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (*brokenConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// TestLateRequestIsAnswered: a request that comes at the end of the time that its
+// TestLateRequestGetsTimeForItsResponse: a request that comes at the end of the time that its
 // connection may wait still has time for its answer; one that never comes has not.
-func TestLateRequestIsAnswered(t *testing.T) {
+func TestLateRequestGetsTimeForItsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &Server{Timeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(4 * time.Second)
 		})}
 		client, server := net.Pipe()
-		go s.serve(server)
+		go s.serveConn(server)
 		time.Sleep(9 * time.Second)
 		if _, err := io.WriteString(client, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatal(err)
@@ -205,21 +205,21 @@
 	})
 }
 
-// wrapped is a writer as handlers put one round another.
-type wrapped struct{ http.ResponseWriter }
+// wrappedWriter is a writer as handlers put one round another.
+type wrappedWriter struct{ http.ResponseWriter }
 
-func (w wrapped) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w wrappedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// TestAllocations: what a request costs beside its handler stays bounded. With
+// TestRequestAllocations: what a request costs beside its handler stays bounded. With
 // hundreds a second on a small machine every allocation is time.
-func TestAllocations(t *testing.T) {
+func TestRequestAllocations(t *testing.T) {
 	const n = 200
 	one := "POST /agent/beat HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
 	s := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 	all := testing.AllocsPerRun(5, func() {
-		c := &script{in: strings.NewReader(strings.Repeat(one, n))}
-		s.serve(c)
-		if got := strings.Count(c.out.String(), "200 OK"); got != n {
+		c := &scriptedConn{input: strings.NewReader(strings.Repeat(one, n))}
+		s.serveConn(c)
+		if got := strings.Count(c.output.String(), "200 OK"); got != n {
 			t.Fatalf("%d answers, want %d", got, n)
 		}
 	})
