--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -14,32 +14,32 @@
 func BenchmarkSteadyMinute(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
-			w := busy(scale, time.Duration(b.N+2)*time.Minute)
+			w := busySimulation(scale, time.Duration(b.N+2)*time.Minute)
 			b.ReportAllocs()
 			b.ResetTimer()
-			w.Run(time.Duration(b.N+2) * time.Minute)
+			w.RunUntil(time.Duration(b.N+2) * time.Minute)
 			b.StopTimer()
-			if w.Check.Starts == 0 {
+			if w.Checker.TaskStarts == 0 {
 				b.Fatal("nothing ran")
 			}
 		})
 	}
 }
 
-// busy is a world in the middle of its work: batches come until the time given,
+// busySimulation is a world in the middle of its work: batches come until the time given,
 // with scale times the tasks on machines that are as much larger.
-func busy(scale int, until time.Duration) *World {
-	opt := Defaults(1)
+func busySimulation(scale int, until time.Duration) *Simulation {
+	opt := DefaultOptions(1)
 	opt.Capacity = 12
 	opt.Types[0].CPUs, opt.Types[0].MemoryGB, opt.Types[0].CacheGB = 4*float64(scale), 16*float64(scale), 60
 	w := New(opt)
 	n := 0
 	for at := 2 * second; at < until; at += 4 * second {
 		n++
-		j := batch(fmt.Sprintf("req-%06d", n), 8*scale)
+		j := batchJob(fmt.Sprintf("req-%06d", n), 8*scale)
 		w.At(at, func() { w.Users.Submit(j, 40*second) })
 	}
-	w.Run(2 * time.Minute)
+	w.RunUntil(2 * time.Minute)
 	return w
 }
 
@@ -48,22 +48,22 @@
 func BenchmarkReport(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
-			w := busy(scale, 2*time.Minute)
+			w := busySimulation(scale, 2*time.Minute)
 			n, keys := w.Leader(), sortedKeys(w.Workers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: w.Workers[keys[i%len(keys)]].report()})
+				n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: w.Workers[keys[i%len(keys)]].nextReport()})
 			}
 		})
 	}
 }
 
 func BenchmarkPoll(b *testing.B) {
-	w := busy(1, 2*time.Minute)
+	w := busySimulation(1, 2*time.Minute)
 	n := w.Leader()
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(n.State.Step(n.clock(), core.Poll{RequestID: 1, ID: "req-000001"})) == 0 {
+		if len(n.State.Step(n.monotonicNow(), core.Poll{RequestID: 1, ID: "req-000001"})) == 0 {
 			b.Fatal("not answered at once: the job should be over by now")
 		}
 	}
--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// cancelledDay is a day on which a job is cancelled while the orders to stop its
+// cancelScenario is a day on which a job is cancelled while the orders to stop its
 // tasks don't get through.
-type cancelledDay struct {
+type cancelScenario struct {
 	*grown
 	machine *Worker // which has the job's tasks
 	job     string
@@ -15,47 +15,47 @@
 
 const cancelAt = 60 * second
 
-// afterAnswer calls f once the machine has taken an answer to a report that it
+// afterReportAnswer calls f once the machine has taken an answer to a report that it
 // sent after a time.
-func (d *cancelledDay) afterAnswer(sent time.Duration, f func()) {
-	d.when(sent, func() bool { return d.machine.leaseFrom > sent }, f)
+func (d *cancelScenario) afterReportAnswer(sent time.Duration, f func()) {
+	d.runWhen(sent, func() bool { return d.machine.leaseStartedAt > sent }, f)
 }
 
-// endLeaders ends whoever leads as soon as the machine has its answer, again and
+// crashEachLeader ends whoever leads as soon as the machine has its answer, again and
 // again until a time.
-func (d *cancelledDay) endLeaders(until time.Duration) {
-	d.afterAnswer(d.Now, func() {
+func (d *cancelScenario) crashEachLeader(until time.Duration) {
+	d.afterReportAnswer(d.Now, func() {
 		d.crashLeader(300 * time.Millisecond)
 		if d.Now < until {
-			d.endLeaders(until)
+			d.crashEachLeader(until)
 		}
 	})
 }
 
 // Days on which a machine is answered more than cancel_s - lease_s after its
 // task's user was told of the cancellation, and doesn't hear of it after that.
-var cancelledDays = []struct {
+var cancelScenarios = []struct {
 	name string
 	zone int // machines in each zone
-	play func(d *cancelledDay)
+	play func(d *cancelScenario)
 }{
-	{"each leader ends before the machine reports to it again", 5, func(d *cancelledDay) {
-		d.LateCommands = 1
+	{"each leader ends before the machine reports to it again", 5, func(d *cancelScenario) {
+		d.LateCommandFraction = 1
 		d.crashLeader(300 * time.Millisecond)
-		d.endLeaders(d.Now + d.Opt.Config.CancelWithin)
+		d.crashEachLeader(d.Now + d.Options.Config.CancelWithin)
 	}},
-	{"the machine hangs once a leader elected late has answered it", 5, hangOnceAnswered},
-	{"the same among thousands of machines", 1340, hangOnceAnswered},
+	{"the machine hangs once a leader elected late has answered it", 5, pauseOnceAnswered},
+	{"the same among thousands of machines", 1340, pauseOnceAnswered},
 }
 
-// hangOnceAnswered has nobody lead until a machine's lease may be renewed beyond
+// pauseOnceAnswered has nobody lead until a machine's lease may be renewed beyond
 // what is allowed, and the machine hang as soon as that has happened.
-func hangOnceAnswered(d *cancelledDay) {
-	c := d.Opt.Config
-	d.LateCommands = 1
+func pauseOnceAnswered(d *cancelScenario) {
+	c := d.Options.Config
+	d.LateCommandFraction = 1
 	d.crashLeader(10 * second)
 	d.outage(d.Now+500*time.Millisecond, d.Now+c.CancelWithin-c.Lease)
-	d.afterAnswer(d.Now+c.CancelWithin-c.Lease, func() { d.machine.Hang(c.Lease + 10*second) })
+	d.afterReportAnswer(d.Now+c.CancelWithin-c.Lease, func() { d.machine.Pause(c.Lease + 10*second) })
 }
 
 // TestCancelledTasksAreGone: whatever is answered to a machine, the tasks of a
@@ -63,30 +63,30 @@
 // it hadn't adopted yet, and with that renewed their leases, without the order to
 // stop such tasks.
 func TestCancelledTasksAreGone(t *testing.T) {
-	for _, day := range cancelledDays {
+	for _, day := range cancelScenarios {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			opt := largest(1)
-			d := &cancelledDay{grown: growTo(opt, day.zone), job: "req-000001"}
-			d.Users.Quiet = true
-			d.At(20*second, func() { d.Users.Submit(service(d.job, 1), 0) })
-			d.Run(cancelAt)
-			d.machine = d.host(d.job + "/0")
+			d := &cancelScenario{grown: growTo(opt, day.zone), job: "req-000001"}
+			d.Users.StopsPollingAtEnd = true
+			d.At(20*second, func() { d.Users.Submit(serviceJob(d.job, 1), 0) })
+			d.RunUntil(cancelAt)
+			d.machine = d.runningMachine(d.job + "/0")
 			if d.machine == nil {
 				t.Fatal("the task doesn't run")
 			}
 			day.play(d)
-			d.Run(cancelAt + 200*time.Millisecond)
+			d.RunUntil(cancelAt + 200*time.Millisecond)
 			d.Users.Cancel(d.job)
-			d.Run(cancelAt + 2*opt.Config.CancelWithin)
-			for _, b := range d.Check.Broken {
+			d.RunUntil(cancelAt + 2*opt.Config.CancelWithin)
+			for _, b := range d.Checker.Violations {
 				t.Error(b)
 			}
-			told := d.Check.jobs[d.job].toldCancelled
-			if told == 0 || told > cancelAt+5*second || d.Check.Cancelled == 0 {
-				t.Errorf("told of the cancellation at %v, %d tasks seen to go: the day shows nothing", told, d.Check.Cancelled)
+			told := d.Checker.jobs[d.job].cancelConfirmedAt
+			if told == 0 || told > cancelAt+5*second || d.Checker.CancelledTasksStopped == 0 {
+				t.Errorf("told of the cancellation at %v, %d tasks seen to go: the day shows nothing", told, d.Checker.CancelledTasksStopped)
 			}
-			t.Logf("gone %v before the time allowed was over", d.Check.LeastMargin)
+			t.Logf("gone %v before the time allowed was over", d.Checker.LeastMargin)
 		})
 	}
 }
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -9,8 +9,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// edit changes the orders that a node sends, whichever way they go.
-func edit(e core.Effect, f func([]model.Order) []model.Order) core.Effect {
+// editOrders changes the orders that a node sends, whichever way they go.
+func editOrders(e core.Effect, f func([]model.Order) []model.Order) core.Effect {
 	switch e := e.(type) {
 	case core.Reply:
 		if b, ok := e.Body.(core.ReportReply); ok {
@@ -25,8 +25,8 @@
 	return e
 }
 
-// answer changes what users are told.
-func answer(e core.Effect, f func(core.JobStatus) core.JobStatus) core.Effect {
+// editJobStatus changes what users are told.
+func editJobStatus(e core.Effect, f func(core.JobStatus) core.JobStatus) core.Effect {
 	if r, ok := e.(core.Reply); ok {
 		if st, ok := r.Body.(core.JobStatus); ok && r.Status == 200 {
 			r.Body = f(st)
@@ -36,9 +36,9 @@
 	return e
 }
 
-// TestCheckerSeesEachRule breaks the service on purpose, once for each rule,
+// TestCheckerReportsEachViolation breaks the service on purpose, once for each rule,
 // and expects the checker to say so.
-func TestCheckerSeesEachRule(t *testing.T) {
+func TestCheckerReportsEachViolation(t *testing.T) {
 	var seen []model.Order
 	moved := map[string]model.Order{}
 	noKills := func(o []model.Order) []model.Order {
@@ -52,11 +52,11 @@
 	}
 	cases := []struct {
 		rule   string
-		tamper func(w *World, n *Node, e core.Effect) core.Effect
-		setup  func(w *World)
+		tamper func(w *Simulation, n *Controller, e core.Effect) core.Effect
+		setup  func(w *Simulation)
 	}{
-		{rule: "ran_twice", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
-			return edit(e, func(o []model.Order) []model.Order {
+		{rule: "ran_twice", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+			return editOrders(e, func(o []model.Order) []model.Order {
 				for _, x := range o {
 					if x.Verb == model.OrderStart {
 						seen = append(seen, model.Order{Verb: model.OrderStart, Task: x.Task, Attempt: x.Attempt + 1})
@@ -65,19 +65,19 @@
 				return append(noKills(o), seen...)
 			})
 		}},
-		{rule: "quota", setup: func(w *World) {
-			w.Opt.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
+		{rule: "quota", setup: func(w *Simulation) {
+			w.Options.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
 		}},
-		{rule: "wrong_place", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
+		{rule: "wrong_place", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 			// Replica 1 is sent wherever replica 0 goes.
-			return edit(e, func(o []model.Order) []model.Order {
+			return editOrders(e, func(o []model.Order) []model.Order {
 				kept := []model.Order{}
 				for _, x := range noKills(o) {
 					if x.Verb == model.OrderStart && strings.HasSuffix(x.Task, "/1") {
 						moved[x.Task] = x
 						continue
 					}
-					if pair, first := strings.CutSuffix(x.Task, "/0"); first && x.Verb == model.OrderStart && w.Check.jobs[pair].spec.Tasks == 2 {
+					if pair, first := strings.CutSuffix(x.Task, "/0"); first && x.Verb == model.OrderStart && w.Checker.jobs[pair].spec.Tasks == 2 {
 						m, ok := moved[pair+"/1"]
 						if !ok {
 							continue // it is sent again, and by then both go
@@ -88,39 +88,39 @@
 				}
 				return kept
 			})
-		}, setup: func(w *World) {
+		}, setup: func(w *Simulation) {
 			w.At(0, func() {
 				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 2, CPUs: 0.5, MemoryGB: 1, Image: "svc", ImageGB: 1, Spread: true}, 0)
 			})
 		}},
-		{rule: "ran_cancelled", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
-			return edit(e, noKills)
-		}, setup: func(w *World) {
+		{rule: "ran_cancelled", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+			return editOrders(e, noKills)
+		}, setup: func(w *Simulation) {
 			w.At(20*second, func() {
 				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "svc", ImageGB: 1}, 0)
 			})
 			w.At(60*second, func() {
-				w.Cloud.Out = true // else the machine is returned before the time is up
+				w.Cloud.Unavailable = true // else the machine is returned before the time is up
 				w.Users.Cancel("req-500000")
 			})
 		}},
-		{rule: "late_start", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
-			return answer(e, func(st core.JobStatus) core.JobStatus {
+		{rule: "late_start", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
 				if st.ID == "req-500000" && w.Now > 60*second {
 					st.Phase = model.PhaseAborted
 				}
 				return st
 			})
-		}, setup: func(w *World) {
+		}, setup: func(w *Simulation) {
 			w.At(20*second, func() {
 				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow,
 					Tasks: 120, CPUs: 2, MemoryGB: 1, Image: "low", ImageGB: 1, EstimateS: 10}, 15*second)
 			})
-			w.At(60*second, func() { w.Check.jobs["req-500000"].asked = true }) // and is told so, while it goes on
+			w.At(60*second, func() { w.Checker.jobs["req-500000"].cancelRequested = true }) // and is told so, while it goes on
 		}},
-		{rule: "forgotten", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
+		{rule: "forgotten", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 200 && w.Now > 60*second {
 				if _, ok := r.Body.(core.JobStatus); ok {
 					return core.Reply{RequestID: r.RequestID, Status: 404}
@@ -128,20 +128,20 @@
 			}
 			return e
 		}},
-		{rule: "invented", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
+		{rule: "invented", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 404 {
 				return core.Reply{RequestID: r.RequestID, Status: 200, Body: core.JobStatus{}}
 			}
 			return e
 		}},
-		{rule: "not_done", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
-			return answer(e, func(st core.JobStatus) core.JobStatus {
+		{rule: "not_done", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
 				st.Phase = model.PhaseDone
 				return st
 			})
 		}},
-		{rule: "went_back", tamper: func(w *World, n *Node, e core.Effect) core.Effect {
-			return answer(e, func(st core.JobStatus) core.JobStatus {
+		{rule: "went_back", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
 				if w.Now > 80*second {
 					st.Phase = model.PhaseRunning
 				}
@@ -152,20 +152,20 @@
 	for _, c := range cases {
 		t.Run(c.rule, func(t *testing.T) {
 			seen = nil
-			opt := Defaults(3)
+			opt := DefaultOptions(3)
 			opt.Tamper = c.tamper
 			w := New(opt)
 			if c.setup != nil {
 				c.setup(w)
 			}
 			load(w, 90*second)
-			w.Run(160 * second)
-			for _, b := range w.Check.Broken {
+			w.RunUntil(160 * second)
+			for _, b := range w.Checker.Violations {
 				if strings.Contains(b, c.rule+":") {
 					return
 				}
 			}
-			t.Errorf("the checker did not notice; it saw %v", w.Check.Broken)
+			t.Errorf("the checker did not notice; it saw %v", w.Checker.Violations)
 		})
 	}
 }
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -11,31 +11,31 @@
 
 // Cloud stands in for the cloud.
 type Cloud struct {
-	w        *World
-	Out      bool
-	next     int
-	rentals  map[string][]string
-	machines map[string]*rented
-	// Slow multiplies boot times, 0 means 1.
-	Slow float64
+	sim          *Simulation
+	Unavailable  bool
+	machineCount int
+	rentals      map[string][]string
+	machines     map[string]*rentedMachine
+	// BootTimeFactor multiplies boot times, 0 means 1.
+	BootTimeFactor float64
 }
 
-type rented struct {
+type rentedMachine struct {
 	model.ListedMachine
-	at   time.Duration
-	gone bool
-	end  time.Duration
+	rentedAt  time.Duration
+	removed   bool
+	removedAt time.Duration
 }
 
 func (c *Cloud) serve(call core.CloudCall) core.CloudResult {
 	d := core.CloudResult{CallID: call.CallID, Status: 200}
-	if c.Out {
+	if c.Unavailable {
 		d.Status = 503
 		return d
 	}
 	switch call.Op {
 	case core.CloudTypes:
-		d.Types = c.w.Opt.Types
+		d.Types = c.sim.Options.Types
 	case core.CloudRent:
 		if old, ok := c.rentals[call.Request]; ok {
 			d.Hosts = old
@@ -49,19 +49,19 @@
 		c.rentals[call.Request] = d.Hosts
 	case core.CloudReturn:
 		for _, h := range call.Hosts {
-			c.Take(h)
+			c.RemoveMachine(h)
 		}
 	case core.CloudList:
-		then := c.w.Now - c.w.Opt.ListLag
+		then := c.sim.Now - c.sim.Options.ListLag
 		for _, h := range sortedKeys(c.machines) {
 			m := c.machines[h]
-			if m.at > then || m.gone && m.end <= then || h <= call.After {
+			if m.rentedAt > then || m.removed && m.removedAt <= then || h <= call.After {
 				continue
 			}
 			l := m.ListedMachine
 			l.State = "running"
-			l.AgeS = (then - m.at).Seconds()
-			if c.w.Workers[l.Endpoint] == nil {
+			l.AgeS = (then - m.rentedAt).Seconds()
+			if c.sim.Workers[l.Endpoint] == nil {
 				l.State = "starting"
 			}
 			d.Listed = append(d.Listed, l)
@@ -74,9 +74,9 @@
 // Rent boots machines, as the service's requests do.
 func (c *Cloud) Rent(typ, zone string, spot bool, n int) []string {
 	var t *model.MachineType
-	for i := range c.w.Opt.Types {
-		if c.w.Opt.Types[i].Name == typ {
-			t = &c.w.Opt.Types[i]
+	for i := range c.sim.Options.Types {
+		if c.sim.Options.Types[i].Name == typ {
+			t = &c.sim.Options.Types[i]
 		}
 	}
 	if t == nil {
@@ -84,47 +84,47 @@
 	}
 	have := 0
 	for _, m := range c.machines {
-		if !m.gone && m.Type == typ && m.Zone == zone && m.Spot == spot {
+		if !m.removed && m.Type == typ && m.Zone == zone && m.Spot == spot {
 			have++
 		}
 	}
 	var hosts []string
-	for ; n > 0 && have < c.w.Opt.Capacity; n-- {
+	for ; n > 0 && have < c.sim.Options.Capacity; n-- {
 		have++
-		c.next++
-		h := fmt.Sprintf("n-%06d", c.next)
-		m := &rented{ListedMachine: model.ListedMachine{Host: h, Endpoint: "w" + h, Type: typ, Zone: zone, Spot: spot}, at: c.w.Now}
+		c.machineCount++
+		h := fmt.Sprintf("n-%06d", c.machineCount)
+		m := &rentedMachine{ListedMachine: model.ListedMachine{Host: h, Endpoint: "w" + h, Type: typ, Zone: zone, Spot: spot}, rentedAt: c.sim.Now}
 		c.machines[h] = m
 		hosts = append(hosts, h)
-		boot := t.BootS * (0.6 + 0.9*c.w.Rnd.Float64())
-		if c.Slow > 0 {
-			boot *= c.Slow
+		boot := t.BootS * (0.6 + 0.9*c.sim.Rand.Float64())
+		if c.BootTimeFactor > 0 {
+			boot *= c.BootTimeFactor
 		}
-		c.w.After(time.Duration(boot*float64(time.Second)), func() {
-			if !m.gone {
-				c.w.startWorker(m.ListedMachine, t)
+		c.sim.After(time.Duration(boot*float64(time.Second)), func() {
+			if !m.removed {
+				c.sim.startWorker(m.ListedMachine, t)
 			}
 		})
 	}
 	return hosts
 }
 
-// Recall takes a machine back after notice.
-func (c *Cloud) Recall(host string, notice time.Duration) {
-	if wk := c.w.Workers["w"+host]; wk != nil {
-		wk.recallAt, wk.changed = c.w.Now+notice, true
+// Reclaim takes a machine back after notice.
+func (c *Cloud) Reclaim(host string, notice time.Duration) {
+	if wk := c.sim.Workers["w"+host]; wk != nil {
+		wk.reclaimAt, wk.hasChanges = c.sim.Now+notice, true
 	}
-	c.w.After(notice, func() { c.Take(host) })
+	c.sim.After(notice, func() { c.RemoveMachine(host) })
 }
 
-// Take ends a machine: returned by us, or taken back.
-func (c *Cloud) Take(host string) {
+// RemoveMachine ends a machine: returned by us, or taken back.
+func (c *Cloud) RemoveMachine(host string) {
 	m := c.machines[host]
-	if m == nil || m.gone {
+	if m == nil || m.removed {
 		return
 	}
-	m.gone, m.end = true, c.w.Now
-	if wk := c.w.Workers[m.Endpoint]; wk != nil {
+	m.removed, m.removedAt = true, c.sim.Now
+	if wk := c.sim.Workers[m.Endpoint]; wk != nil {
 		wk.stop()
 	}
 }
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -6,152 +6,152 @@
 	"mulleinfall/internal/model"
 )
 
-// gangRun is one attempt of a gang, as its tasks see one another.
-type gangRun struct {
-	t       *truth
-	attempt uint64
-	members map[string]*Worker // tasks that have their image, and where
-	started bool
-	at      time.Duration // of the start
-	killed  time.Duration // first stop with time to save; 0: none
-	saved   map[string]bool
-	broken  time.Duration // a task is gone, or was stopped at once; 0: not
-	over    bool          // its progress has been settled
+// gangAttempt is one attempt of a gang, as its tasks see one another.
+type gangAttempt struct {
+	job        *jobRecord
+	attempt    uint64
+	members    map[string]*Worker // tasks that have their image, and where
+	started    bool
+	startedAt  time.Duration // of the start
+	killedAt   time.Duration // first stop with time to save; 0: none
+	savedTasks map[string]bool
+	brokenAt   time.Duration // a task is gone, or was stopped at once; 0: not
+	settled    bool          // its progress has been settled
 }
 
-func (t *truth) gang(attempt uint64) *gangRun {
-	g := t.gangs[attempt]
+func (t *jobRecord) gangAttemptFor(attempt uint64) *gangAttempt {
+	g := t.gangAttempts[attempt]
 	if g == nil {
-		g = &gangRun{t: t, attempt: attempt, members: map[string]*Worker{}, saved: map[string]bool{}}
-		t.gangs[attempt] = g
+		g = &gangAttempt{job: t, attempt: attempt, members: map[string]*Worker{}, savedTasks: map[string]bool{}}
+		t.gangAttempts[attempt] = g
 	}
 	return g
 }
 
-// arrived takes that a task has its image: it waits, and the last one starts
+// taskReady takes that a task has its image: it waits, and the last one starts
 // all of them.
-func (g *gangRun) arrived(name string, wk *Worker) {
-	w := wk.w
+func (g *gangAttempt) taskReady(name string, wk *Worker) {
+	w := wk.sim
 	g.members[name] = wk
-	if len(g.members) < g.t.spec.Tasks || g.started {
+	if len(g.members) < g.job.spec.Tasks || g.started {
 		return
 	}
-	g.started, g.at = true, w.Now
-	w.tell("gang %s attempt %d starts", g.t.spec.ID, g.attempt)
+	g.started, g.startedAt = true, w.Now
+	w.tracef("gang %s attempt %d starts", g.job.spec.ID, g.attempt)
 	for _, task := range sortedKeys(g.members) {
 		m := g.members[task]
 		if r := m.tasks[task]; r != nil && r.state == model.TaskGathering {
-			r.state, m.changed = model.TaskRunning, true
-			r.end = w.Now + g.t.runTime - g.t.progress
+			r.state, m.hasChanges = model.TaskRunning, true
+			r.endsAt = w.Now + g.job.runTime - g.job.savedProgress
 		}
 	}
 }
 
-// left takes that a task is gone from its machine.
-func (g *gangRun) left(name string, now time.Duration) {
+// taskGone takes that a task is gone from its machine.
+func (g *gangAttempt) taskGone(name string, now time.Duration) {
 	delete(g.members, name)
-	if g.started && g.broken == 0 && !g.over {
-		g.broken = now
-		g.settle(now)
+	if g.started && g.brokenAt == 0 && !g.settled {
+		g.brokenAt = now
+		g.settleProgress(now)
 	}
 }
 
-// settle fixes the progress of an attempt that has ended without saving: what
+// settleProgress fixes the progress of an attempt that has ended without saving: what
 // its last checkpoint holds.
-func (g *gangRun) settle(now time.Duration) {
-	if g.over {
+func (g *gangAttempt) settleProgress(now time.Duration) {
+	if g.settled {
 		return
 	}
-	g.over = true
-	if g.killed != 0 {
-		now = g.killed
+	g.settled = true
+	if g.killedAt != 0 {
+		now = g.killedAt
 	}
-	reached := g.t.progress + now - g.at
-	if every := time.Duration(g.t.spec.CheckpointEveryS * float64(time.Second)); every > 0 {
-		g.t.progress = max(g.t.progress, reached/every*every)
+	reached := g.job.savedProgress + now - g.startedAt
+	if every := time.Duration(g.job.spec.CheckpointEveryS * float64(time.Second)); every > 0 {
+		g.job.savedProgress = max(g.job.savedProgress, reached/every*every)
 	}
 }
 
-// advanceGang moves a gang's task along that has its image.
-func (wk *Worker) advanceGang(name string, r *run, t *truth) {
-	g := t.gang(r.attempt)
+// advanceGangTask moves a gang's task along that has its image.
+func (wk *Worker) advanceGangTask(name string, r *taskRun, t *jobRecord) {
+	g := t.gangAttemptFor(r.attempt)
 	for _, m := range g.members { // a machine that hangs is noticed as well
-		if g.started && m.Hung && g.broken == 0 && !g.over {
-			g.broken = wk.w.Now
-			g.settle(wk.w.Now)
+		if g.started && m.Paused && g.brokenAt == 0 && !g.settled {
+			g.brokenAt = wk.sim.Now
+			g.settleProgress(wk.sim.Now)
 		}
 	}
 	switch r.state {
 	case model.TaskGathering:
-		if wk.w.Now >= r.began+wk.w.Opt.Config.GangWaitTimeout {
-			wk.exit(name, r, model.CauseGangIncomplete)
+		if wk.sim.Now >= r.startedAt+wk.sim.Options.Config.GangWaitTimeout {
+			wk.exitTask(name, r, model.CauseGangIncomplete)
 		}
 	case model.TaskRunning:
-		wk.advanceRunning(name, r, g)
+		wk.advanceRunningGangTask(name, r, g)
 	case model.TaskSaving:
-		wk.advanceSaving(name, r, g)
+		wk.advanceSavingGangTask(name, r, g)
 	}
 }
 
-// missesPeers says whether a task has noticed by now that another is gone, or that
+// hasLostPeers says whether a task has noticed by now that another is gone, or that
 // it wasn't told of a stop in time.
-func (g *gangRun) missesPeers(now, peer time.Duration) bool {
-	return g.broken != 0 && now >= g.broken+peer/2 || g.killed != 0 && now >= g.killed+peer
+func (g *gangAttempt) hasLostPeers(now, peer time.Duration) bool {
+	return g.brokenAt != 0 && now >= g.brokenAt+peer/2 || g.killedAt != 0 && now >= g.killedAt+peer
 }
 
-// advanceRunning completes a gang, or ends a task that is left behind.
-func (wk *Worker) advanceRunning(name string, r *run, g *gangRun) {
-	w, t := wk.w, g.t
+// advanceRunningGangTask completes a gang, or ends a task that is left behind.
+func (wk *Worker) advanceRunningGangTask(name string, r *taskRun, g *gangAttempt) {
+	w, t := wk.sim, g.job
 	switch {
-	case t.done[name]:
-		wk.exit(name, r, model.CauseDone)
-	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
-		wk.exit(name, r, model.CausePeerLost)
-	case g.killed == 0 && g.broken == 0 && w.Now >= r.end:
-		g.over = true
+	case t.doneTasks[name]:
+		wk.exitTask(name, r, model.CauseDone)
+	case g.hasLostPeers(w.Now, w.Options.Config.GangPeerTimeout):
+		wk.exitTask(name, r, model.CausePeerLost)
+	case g.killedAt == 0 && g.brokenAt == 0 && w.Now >= r.endsAt:
+		g.settled = true
 		for i := range t.spec.Tasks {
-			t.done[model.TaskName(t.spec.ID, i)] = true
+			t.doneTasks[model.TaskName(t.spec.ID, i)] = true
 		}
-		w.tell("gang %s attempt %d is done", t.spec.ID, g.attempt)
-		wk.exit(name, r, model.CauseDone)
+		w.tracef("gang %s attempt %d is done", t.spec.ID, g.attempt)
+		wk.exitTask(name, r, model.CauseDone)
 	}
 }
 
-// advanceSaving ends a task once all have saved, or can't.
-func (wk *Worker) advanceSaving(name string, r *run, g *gangRun) {
-	w, t := wk.w, g.t
-	if w.Now >= r.end {
-		g.saved[name] = true
+// advanceSavingGangTask ends a task once all have saved, or can't.
+func (wk *Worker) advanceSavingGangTask(name string, r *taskRun, g *gangAttempt) {
+	w, t := wk.sim, g.job
+	if w.Now >= r.endsAt {
+		g.savedTasks[name] = true
 	}
-	if len(g.saved) == t.spec.Tasks && g.broken == 0 && !g.over {
-		g.over = true
-		t.progress += g.killed - g.at
-		w.tell("gang %s attempt %d has saved %v", t.spec.ID, g.attempt, t.progress)
+	if len(g.savedTasks) == t.spec.Tasks && g.brokenAt == 0 && !g.settled {
+		g.settled = true
+		t.savedProgress += g.killedAt - g.startedAt
+		w.tracef("gang %s attempt %d has saved %v", t.spec.ID, g.attempt, t.savedProgress)
 	}
 	switch {
-	case r.saved, g.over && g.broken == 0:
+	case r.saved, g.settled && g.brokenAt == 0:
 		r.saved = true
-		wk.exit(name, r, model.CauseStopped)
-	case g.missesPeers(w.Now, w.Opt.Config.GangPeerTimeout):
-		g.settle(w.Now)
-		wk.exit(name, r, model.CausePeerLost)
+		wk.exitTask(name, r, model.CauseStopped)
+	case g.hasLostPeers(w.Now, w.Options.Config.GangPeerTimeout):
+		g.settleProgress(w.Now)
+		wk.exitTask(name, r, model.CausePeerLost)
 	}
 }
 
-// stopGang is a kill of a gang's task that has its image.
-func (wk *Worker) stopGang(name string, r *run, t *truth, grace *float64) {
-	w, g := wk.w, t.gang(r.attempt)
+// stopGangTask is a kill of a gang's task that has its image.
+func (wk *Worker) stopGangTask(name string, r *taskRun, t *jobRecord, grace *float64) {
+	w, g := wk.sim, t.gangAttemptFor(r.attempt)
 	if r.state == model.TaskRunning && t.spec.CheckpointEveryS > 0 && grace != nil && *grace >= t.spec.CheckpointCostS {
-		if g.killed == 0 {
-			g.killed = w.Now
+		if g.killedAt == 0 {
+			g.killedAt = w.Now
 		}
-		if w.Now <= g.killed+w.Opt.Config.GangPeerTimeout {
-			r.state, r.end, wk.changed = model.TaskSaving, w.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
+		if w.Now <= g.killedAt+w.Options.Config.GangPeerTimeout {
+			r.state, r.endsAt, wk.hasChanges = model.TaskSaving, w.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
 			return
 		}
 	}
 	if r.state == model.TaskSaving && (grace == nil || *grace > 0) {
 		return
 	}
-	wk.exit(name, r, model.CauseStopped)
+	wk.exitTask(name, r, model.CauseStopped)
 }
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -12,14 +12,14 @@
 // grown is a world with hundreds of machines that are up at once, and counters
 // of what the controllers do to the outside.
 type grown struct {
-	*World
+	*Simulation
 	machines                              int
 	puts, requests, directs, atOnce, open int
 	rounds                                map[time.Duration]int // by report interval
 }
 
 // newGrown has 450 machines and the settings of Defaults.
-func newGrown(seed uint64) *grown { return growTo(Defaults(seed), 150) }
+func newGrown(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
 
 // newFleet has three times zone machines and the settings of the largest
 // deployments.
@@ -28,12 +28,12 @@
 // largest are the settings of the largest deployments, less the time that workers
 // need for details.
 func largest(seed uint64) Options {
-	opt := Defaults(seed)
+	opt := DefaultOptions(seed)
 	c := &opt.Config
 	c.ReportInterval, c.Lease, c.CancelWithin = 6*second, 31*second, 51*second
 	c.StoreRPS, c.StoreWriteRPS, c.MaxValueBytes, c.MaxTxnOps = 250, 70, 16<<10, 24
 	c.MaxDirectCommands, c.MaxRequests = 152, 1990
-	opt.Pace = 100 * time.Millisecond
+	opt.WorkerStepInterval = 100 * time.Millisecond
 	return opt
 }
 
@@ -41,12 +41,12 @@
 	g := &grown{rounds: map[time.Duration]int{}, machines: zone * len(opt.Zones)}
 	opt.Capacity = zone
 	opt.Config.Stopwatch = func() func() time.Duration {
-		if g.World != nil {
+		if g.Simulation != nil {
 			g.rounds[g.Now/opt.Config.ReportInterval]++
 		}
 		return func() time.Duration { return 0 }
 	}
-	opt.Tamper = func(w *World, n *Node, e core.Effect) core.Effect {
+	opt.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 		switch e := e.(type) {
 		case core.StoreCall:
 			g.requests++
@@ -59,8 +59,8 @@
 		}
 		return e
 	}
-	g.World = New(opt)
-	g.Cloud.Slow = 0.02 // up within a moment
+	g.Simulation = New(opt)
+	g.Cloud.BootTimeFactor = 0.02 // up within a moment
 	for _, name := range opt.Zones {
 		g.Cloud.Rent("small", name, false, zone)
 	}
@@ -70,11 +70,11 @@
 // load keeps some 400 tasks running in jobs of 40, and services of 8.
 func (g *grown) load(until time.Duration) {
 	for i, at := 0, second; at < until; i, at = i+1, at+2*second {
-		j := batch(fmt.Sprintf("req-%06d", i), 40)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 40)
 		j.Class, j.Image = "batch", fmt.Sprintf("img-%d", i%6)
 		g.At(at, func() { g.Users.Submit(j, 20*second) })
 		if i%5 == 0 {
-			sv := service(fmt.Sprintf("req-%06d", 500000+i), 8)
+			sv := serviceJob(fmt.Sprintf("req-%06d", 500000+i), 8)
 			sv.Class = "service"
 			g.At(at, func() { g.Users.Submit(sv, 0) })
 		}
@@ -87,7 +87,7 @@
 func TestGrownFleet(t *testing.T) {
 	g := newGrown(1)
 	g.load(100 * second)
-	g.Run(8 * second)
+	g.RunUntil(8 * second)
 	if n := len(g.Workers); n != 450 {
 		t.Fatalf("%d machines are up, want 450", n)
 	}
@@ -98,26 +98,26 @@
 	if g.puts > 120 {
 		t.Errorf("%d changes written to the state service in the first 8 s", g.puts)
 	}
-	g.Run(40 * second)
+	g.RunUntil(40 * second)
 	puts, requests := g.puts, g.requests
-	g.Run(60 * second)
+	g.RunUntil(60 * second)
 	rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20
-	if rps > g.Opt.Config.StoreRPS || wps > g.Opt.Config.StoreWriteRPS {
+	if rps > g.Options.Config.StoreRPS || wps > g.Options.Config.StoreWriteRPS {
 		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", rps, wps)
 	}
 	for at, n := range g.rounds {
 		if n > 26 { // 24, and one at each end
-			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Opt.Config.ReportInterval)
+			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Options.Config.ReportInterval)
 		}
 	}
 
 	// The leader crashes: its successor must reach every machine well inside
 	// the lease, without asking all of them at the same moment.
-	before, killed := g.directs, len(g.Check.Broken)
+	before, killed := g.directs, len(g.Checker.Violations)
 	running := g.running()
 	g.atOnce = 0
 	g.Leader().Crash()
-	g.Run(60*second + g.Opt.Config.Lease + 2*second)
+	g.RunUntil(60*second + g.Options.Config.Lease + 2*second)
 	if g.atOnce > 100 {
 		t.Errorf("%d direct commands at the same time", g.atOnce)
 	}
@@ -127,8 +127,8 @@
 	if now := g.running(); now < running/2 {
 		t.Errorf("%d tasks ran before the crash, %d a lease later", running, now)
 	}
-	if len(g.Check.Broken) > killed {
-		t.Error(g.Check.Broken)
+	if len(g.Checker.Violations) > killed {
+		t.Error(g.Checker.Violations)
 	}
 	if lost := g.lost(); lost > 0 {
 		t.Errorf("%d of 450 machines lost their lease in the takeover", lost)
@@ -141,24 +141,24 @@
 func TestGrownZoneCut(t *testing.T) {
 	g := newGrown(2)
 	g.load(60 * second)
-	g.At(50*second, func() { cutZone(g.World, "c", 40*second, "hold") })
-	g.Run(85 * second)
+	g.At(50*second, func() { cutZone(g.Simulation, "c", 40*second, "hold") })
+	g.RunUntil(85 * second)
 	gone := 0
 	for _, m := range g.Cloud.machines {
-		if m.Zone == "c" && m.gone {
+		if m.Zone == "c" && m.removed {
 			gone++
 		}
 	}
 	if gone > 15 {
 		t.Errorf("%d machines of the zone that was only cut off were returned", gone)
 	}
-	for _, id := range sortedKeys(g.Check.jobs) {
-		if j := g.Check.jobs[id]; j.spec.Kind == model.KindService && len(j.on) != j.spec.Tasks {
-			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(j.on), j.spec.Tasks)
+	for _, id := range sortedKeys(g.Checker.jobs) {
+		if j := g.Checker.jobs[id]; j.spec.Kind == model.KindService && len(j.runningOn) != j.spec.Tasks {
+			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(j.runningOn), j.spec.Tasks)
 		}
 	}
-	g.Run(130 * second)
-	for _, b := range g.Check.Broken {
+	g.RunUntil(130 * second)
+	for _, b := range g.Checker.Violations {
 		t.Error(b)
 	}
 }
@@ -178,18 +178,18 @@
 	})
 	g.onLog("elected", func() { elected = g.Now })
 	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.At(20*second, func() { g.Cloud.Recall("n-000007", 10*second) })
-	g.Run(40 * second)
+	g.At(20*second, func() { g.Cloud.Reclaim("n-000007", 10*second) })
+	g.RunUntil(40 * second)
 	if returned == 0 || returned > 33*second {
 		t.Errorf("the machine taken at 30 s was returned at %v", returned)
 	}
-	g.Cloud.Take("n-000008")
+	g.Cloud.RemoveMachine("n-000008")
 	g.Leader().Crash()
-	g.Run(90 * second)
+	g.RunUntil(90 * second)
 	if late := 10 * second; settled < elected || settled-elected > late {
 		t.Errorf("elected at %v, all machines accounted for at %v, want within %v", elected, settled, late)
 	}
-	for _, b := range g.Check.Broken {
+	for _, b := range g.Checker.Violations {
 		t.Error(b)
 	}
 }
@@ -200,7 +200,7 @@
 // though it asks hundreds of the cut zone's machines in vain, and has all
 // machines accounted for when the cut zone's leases are over.
 func TestCutZoneHoldsNobodyElseUp(t *testing.T) {
-	opt := Defaults(5)
+	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
 	g := growTo(opt, 150)
 	g.load(100 * second)
@@ -209,29 +209,29 @@
 	g.onReturn(func(host string) { returned[host] = g.Now })
 	g.onLog("elected", func() { elected = append(elected, g.Now) })
 	g.onLog("all machines accounted for", func() { settled = append(settled, g.Now) })
-	g.Run(40 * second)
+	g.RunUntil(40 * second)
 	cut := g.Workers[sortedKeys(g.Workers)[0]].info.Zone
-	cutZone(g.World, cut, 60*second, "drop")
-	for _, n := range g.Nodes {
+	cutZone(g.Simulation, cut, 60*second, "drop")
+	for _, n := range g.Controllers {
 		n.Crash()
 	}
 	for g.Leader() == nil && g.Now < 60*second {
-		g.Run(g.Now + 50*time.Millisecond)
+		g.RunUntil(g.Now + 50*time.Millisecond)
 	}
-	g.Run(g.Now + second)
+	g.RunUntil(g.Now + second)
 	l := g.Leader()
-	g.Store.Refuse[l.Name] = true
+	g.Store.UnavailableTo[l.Name] = true
 	for l == g.Leader() {
-		g.Run(g.Now + 50*time.Millisecond)
+		g.RunUntil(g.Now + 50*time.Millisecond)
 	}
 	var dead []string
 	for _, k := range sortedKeys(g.Workers) {
 		if wk := g.Workers[k]; wk.info.Zone != cut && len(dead) < 4 {
 			dead = append(dead, wk.info.Host)
-			g.Cloud.Take(wk.info.Host)
+			g.Cloud.RemoveMachine(wk.info.Host)
 		}
 	}
-	g.Run(70 * second)
+	g.RunUntil(70 * second)
 	if len(elected) != 3 || len(settled) != 2 {
 		t.Fatalf("elected at %v, all machines accounted for at %v", elected, settled)
 	}
@@ -243,7 +243,7 @@
 	if over := elected[1] + opt.Config.Lease + second; settled[1] > over {
 		t.Errorf("all machines accounted for at %v, want at %v, when the leases of the cut zone are over", settled[1], over)
 	}
-	for _, b := range g.Check.Broken {
+	for _, b := range g.Checker.Violations {
 		t.Error(b)
 	}
 }
@@ -263,17 +263,17 @@
 // nothing new and for its answer is a handful, whatever the size of the fleet.
 func TestAllocationsOfReports(t *testing.T) {
 	cost := func(zone int) float64 {
-		g := growTo(Defaults(2), zone)
+		g := growTo(DefaultOptions(2), zone)
 		g.load(20 * second)
-		g.Run(20 * second)
+		g.RunUntil(20 * second)
 		n, wk := g.Leader(), g.Workers[sortedKeys(g.Workers)[7]]
 		reports := make([]model.Report, 201)
 		for i := range reports {
-			reports[i] = wk.report()
+			reports[i] = wk.nextReport()
 		}
 		i := 0
 		return testing.AllocsPerRun(200, func() {
-			out := n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: reports[i]})
+			out := n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
 			i++
 			if len(out) == 0 {
 				t.Fatal("no answer at once")
@@ -291,15 +291,15 @@
 // than once for each.
 func TestAllocationsOfRounds(t *testing.T) {
 	cost := func(zone int) float64 {
-		g := growTo(Defaults(2), zone)
+		g := growTo(DefaultOptions(2), zone)
 		for i := range zone { // each takes three machines
-			g.At(second, func() { g.Users.Submit(service(fmt.Sprintf("req-%06d", i), 6), 0) })
+			g.At(second, func() { g.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
 		}
 		g.At(30*second, func() {
-			j := batch("req-900000", 4)
+			j := batchJob("req-900000", 4)
 			g.Users.Submit(j, 10*second)
 		})
-		g.Run(40 * second)
+		g.RunUntil(40 * second)
 		n := g.Leader()
 		made := func() (all int) {
 			for _, n := range g.rounds {
@@ -307,9 +307,9 @@
 			}
 			return all
 		}
-		now, before := n.clock(), made()
+		now, before := n.monotonicNow(), made()
 		each := testing.AllocsPerRun(4, func() { // and once before
-			now += g.Opt.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
+			now += g.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
 			n.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
 		})
 		if got := made() - before; got < 5 || !n.State.IsLeaderAt(now) {
@@ -331,12 +331,12 @@
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	g := newFleet(1, 700)
-	g.Repeats, g.Copies = 0.03, 0.03
-	watchLeaders(g.World)
+	g.RepeatFraction, g.LateReportCopyFraction = 0.03, 0.03
+	watchLeaders(g.Simulation)
 	g.load(150 * second)
-	c := g.Opt.Config
+	c := g.Options.Config
 
-	g.Run(15 * second)
+	g.RunUntil(15 * second)
 	if n := len(g.Workers); n != g.machines {
 		t.Fatalf("%d machines are up, want %d", n, g.machines)
 	}
@@ -348,7 +348,7 @@
 	}
 
 	puts, requests := g.puts, g.requests
-	g.Run(35 * second)
+	g.RunUntil(35 * second)
 	if rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
 		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", rps, wps)
 	}
@@ -358,7 +358,7 @@
 		directs, lost, running := g.directs, g.lost(), g.running()
 		puts, requests, from := g.puts, g.requests, g.Now
 		g.atOnce = 0
-		g.Run(until)
+		g.RunUntil(until)
 		took := (g.Now - from).Seconds()
 		if g.atOnce > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
 			t.Errorf("%s: %d direct commands at the same time", what, g.atOnce)
@@ -379,36 +379,36 @@
 	g.Leader().Crash()
 	takeover("the leader crashes", 1, 75*second)
 
-	for _, n := range g.Nodes {
+	for _, n := range g.Controllers {
 		n.CrashFor(300 * time.Millisecond)
 	}
-	for i, n := range g.Nodes {
+	for i, n := range g.Controllers {
 		g.After(time.Duration(6000+400*i)*time.Millisecond, func() { n.CrashFor(200 * time.Millisecond) })
 	}
 	takeover("all crash, again inside the election", 2, 115*second)
 
 	hung := sortedKeys(g.Workers)[300:400]
 	for _, e := range hung {
-		g.Workers[e].Hang(40 * second)
+		g.Workers[e].Pause(40 * second)
 	}
-	g.Run(185 * second)
+	g.RunUntil(185 * second)
 	back := 0
 	for _, e := range hung {
-		if wk := g.Workers[e]; wk != nil && wk.epoch > 0 && g.Now < wk.leaseFrom+c.Lease {
+		if wk := g.Workers[e]; wk != nil && wk.epoch > 0 && g.Now < wk.leaseStartedAt+c.Lease {
 			back++
 		}
 	}
 	if back < len(hung)*3/4 {
 		t.Errorf("of %d machines that hung for longer than their lease %d are back", len(hung), back)
 	}
-	g.Repeats, g.Copies = 0, 0
-	g.Check.Known(75 * second)
-	g.Run(262 * second)
-	g.Check.Served()
-	for _, b := range g.Check.Broken {
+	g.RepeatFraction, g.LateReportCopyFraction = 0, 0
+	g.Checker.CheckKnown(75 * second)
+	g.RunUntil(262 * second)
+	g.Checker.CheckServed()
+	for _, b := range g.Checker.Violations {
 		t.Error(b)
 	}
-	if accepted, done := g.Check.Jobs(); accepted < 50 || done < accepted {
+	if accepted, done := g.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
 		t.Errorf("%d of %d jobs done at the end of the day", done, accepted)
 	}
 }
@@ -434,14 +434,14 @@
 	var elected, settled time.Duration
 	g.onLog("elected", func() { elected = g.Now })
 	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.Run(20 * second)
+	g.RunUntil(20 * second)
 	puts := g.puts
-	g.Run(50 * second)
+	g.RunUntil(50 * second)
 	c := fleetCounts{machines: g.machines, changes: float64(g.puts - puts)}
 	puts, requests, directs := g.puts, g.requests, g.directs
 	g.cancelNow(10, 0)
 	g.Leader().Crash()
-	g.Run(70 * second)
+	g.RunUntil(70 * second)
 	n := g.Leader()
 	if n == nil {
 		t.Fatal("nobody leads")
@@ -449,14 +449,14 @@
 	c.changesTakeover, c.requestsPerSecond = float64(g.puts-puts), float64(g.requests-requests)/20
 	c.looksPerMachine = float64(n.State.MachinesScanned()) / float64(g.machines)
 	c.directsPerMachine = float64(g.directs-directs) / float64(g.machines)
-	c.settledAfter, c.leastMargin, c.leasesLost = settled-elected, g.Check.LeastMargin, g.lost()
+	c.settledAfter, c.leastMargin, c.leasesLost = settled-elected, g.Checker.LeastMargin, g.lost()
 	wk := g.Workers[sortedKeys(g.Workers)[zone]]
-	rep := wk.report()
+	rep := wk.nextReport()
 	c.allocsPerReport = testing.AllocsPerRun(100, func() {
 		rep.Seq++
-		n.State.Step(n.clock(), core.WorkerReport{RequestID: 1, Report: rep})
+		n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: rep})
 	})
-	for _, b := range g.Check.Broken {
+	for _, b := range g.Checker.Violations {
 		t.Error(b)
 	}
 	return c
@@ -499,8 +499,8 @@
 
 // onLog calls f whenever a controller logs a text.
 func (g *grown) onLog(text string, f func()) {
-	before := g.Opt.Tamper
-	g.Opt.Tamper = func(w *World, n *Node, e core.Effect) core.Effect {
+	before := g.Options.Tamper
+	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 		if l, ok := e.(core.Log); ok && l.Text == text {
 			f()
 		}
@@ -510,8 +510,8 @@
 
 // onReturn calls f for each machine that a controller asks the cloud to take back.
 func (g *grown) onReturn(f func(host string)) {
-	before := g.Opt.Tamper
-	g.Opt.Tamper = func(w *World, n *Node, e core.Effect) core.Effect {
+	before := g.Options.Tamper
+	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 		if c, ok := e.(core.CloudCall); ok && c.Op == core.CloudReturn {
 			for _, h := range c.Hosts {
 				f(h)
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -21,38 +21,38 @@
 	// limit is what team "tight" may use, in CPUs; 0: 9.
 	limit  float64
 	opt    func(o *Options)
-	load   func(w *World)
-	faults func(w *World)
+	load   func(w *Simulation)
+	faults func(w *Simulation)
 }{
-	{name: "the state service is slow and refuses the leader, then all, while users cancel and ask", faults: func(w *World) {
-		w.At(30*second, func() { w.Store.Slow = 900 * time.Millisecond })
+	{name: "the state service is slow and refuses the leader, then all, while users cancel and ask", faults: func(w *Simulation) {
+		w.At(30*second, func() { w.Store.MaxExtraLatency = 900 * time.Millisecond })
 		w.At(45*second, func() { w.refuseLeader(30 * second) })
 		w.At(45500*time.Millisecond, func() { w.cancelNow(6, 8*second) })
 		w.outage(47*second, 84*second)
 		w.At(60*second, func() { w.cancelNow(6, 0) })
-		w.At(120*second, func() { w.Store.Slow = 0 })
+		w.At(120*second, func() { w.Store.MaxExtraLatency = 0 })
 	}},
-	{name: "more work than room, urgent and not, over slow links", load: func(w *World) { crowd(w, 110*second) }, faults: func(w *World) {
-		w.At(20*second, func() { w.Store.Slow = 300 * time.Millisecond })
+	{name: "more work than room, urgent and not, over slow links", load: func(w *Simulation) { crowd(w, 110*second) }, faults: func(w *Simulation) {
+		w.At(20*second, func() { w.Store.MaxExtraLatency = 300 * time.Millisecond })
 		w.At(60*second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "ten changes of the leader in two minutes, also inside an outage", faults: func(w *World) {
+	{name: "ten changes of the leader in two minutes, also inside an outage", faults: func(w *Simulation) {
 		for i := range 4 {
 			w.At(time.Duration(33+30*i)*second, func() {
 				if l := w.Leader(); l != nil {
-					l.Freeze(time.Duration(2+w.Rnd.IntN(9)) * second)
+					l.Pause(time.Duration(2+w.Rand.IntN(9)) * second)
 				}
 			})
 		}
 		for i := range 10 {
-			w.At(time.Duration(30+12*i)*second, func() { w.crashLeader(time.Duration(200+w.Rnd.IntN(4000)) * time.Millisecond) })
+			w.At(time.Duration(30+12*i)*second, func() { w.crashLeader(time.Duration(200+w.Rand.IntN(4000)) * time.Millisecond) })
 		}
 		w.outage(64*second, 81*second)
 		for i := range 3 {
-			w.At(time.Duration(65+4*i)*second, func() { w.Nodes[i].CrashFor(500 * time.Millisecond) })
+			w.At(time.Duration(65+4*i)*second, func() { w.Controllers[i].CrashFor(500 * time.Millisecond) })
 		}
 	}},
-	{name: "a leader ends while machines with long tasks can't be reached or don't hear", load: func(w *World) { long(w, 10) }, faults: func(w *World) {
+	{name: "a leader ends while machines with long tasks can't be reached or don't hear", load: func(w *Simulation) { long(w, 10) }, faults: func(w *Simulation) {
 		w.At(50*second, func() {
 			for i, h := range sortedKeys(w.Workers) {
 				wk := w.Workers[h]
@@ -60,90 +60,90 @@
 				case 0:
 					w.cutOff(wk, 24*second, "hold")
 				case 1:
-					wk.Unanswered = true
-					w.After(22*second, func() { wk.Unanswered = false })
+					wk.ReportAnswersLost = true
+					w.After(22*second, func() { wk.ReportAnswersLost = false })
 				case 2:
-					wk.Deaf = true
-					w.After(16*second, func() { wk.Deaf = false })
+					wk.CannotReceive = true
+					w.After(16*second, func() { wk.CannotReceive = false })
 				}
 			}
 		})
 		w.At(52*second, func() { w.crashLeader(time.Second) })
 		w.At(80*second, func() { w.cancelNow(4, 0) })
 	}},
-	{name: "jobs of two or three tasks end far apart across a change of the leader", load: func(w *World) { apart(w, 120*second) }, faults: func(w *World) {
+	{name: "jobs of two or three tasks end far apart across a change of the leader", load: func(w *Simulation) { apart(w, 120*second) }, faults: func(w *Simulation) {
 		for i := range 6 {
-			w.At(time.Duration(25+20*i)*second, func() { w.crashLeader(time.Duration(100+w.Rnd.IntN(3000)) * time.Millisecond) })
+			w.At(time.Duration(25+20*i)*second, func() { w.crashLeader(time.Duration(100+w.Rand.IntN(3000)) * time.Millisecond) })
 		}
-		w.At(20*second, func() { w.Store.Unanswered = 0.2 })
-		w.At(140*second, func() { w.Store.Unanswered = 0 })
+		w.At(20*second, func() { w.Store.UnansweredFraction = 0.2 })
+		w.At(140*second, func() { w.Store.UnansweredFraction = 0 })
 	}},
-	{name: "controllers hand over and back, all end, one returns within a second", faults: func(w *World) {
+	{name: "controllers hand over and back, all end, one returns within a second", faults: func(w *Simulation) {
 		for i := range 4 {
 			at := time.Duration(30+25*i) * second
 			w.At(at, func() { w.refuseLeader(4 * second) })
 			w.At(at+3*second, func() { w.cancelNow(3, 0) })
 			w.At(at+8*second, func() {
-				for k, n := range w.Nodes {
+				for k, n := range w.Controllers {
 					n.CrashFor(time.Duration(300+6000*((k+i)%3)) * time.Millisecond)
 				}
 			})
 		}
 	}},
-	{name: "jobs bound to one zone lose machines", load: func(w *World) { bound(w, 110*second) }, faults: func(w *World) {
+	{name: "jobs bound to one zone lose machines", load: func(w *Simulation) { bound(w, 110*second) }, faults: func(w *Simulation) {
 		for i := range 8 {
 			w.At(time.Duration(25+13*i)*second, func() {
 				if keys := sortedKeys(w.Cloud.machines); len(keys) > 0 {
-					w.Cloud.Take(keys[w.Rnd.IntN(len(keys))])
+					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
 				}
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(3+w.Rnd.IntN(20)) * second)
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(3+w.Rand.IntN(20)) * second)
 				}
 			})
 		}
 		w.At(60*second, func() { cutZone(w, "b", 30*second, "hold") })
 		w.At(66*second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "one-task jobs come four a second, a quarter cancelled", load: func(w *World) { small(w, 130*second) }, opt: func(o *Options) { o.Capacity = 12 }, faults: func(w *World) {
+	{name: "one-task jobs come four a second, a quarter cancelled", load: func(w *Simulation) { small(w, 130*second) }, opt: func(o *Options) { o.Capacity = 12 }, faults: func(w *Simulation) {
 		w.At(50*second, func() { w.crashLeader(2 * second) })
 		w.At(80*second, func() { w.refuseLeader(10 * second) })
 		w.outage(110*second, 118*second)
 	}},
-	{name: "answers of the state service are lost, at once or carried out late", faults: func(w *World) {
-		w.At(20*second, func() { w.Store.Unanswered, w.Store.AtOnce = 0.3, true })
+	{name: "answers of the state service are lost, at once or carried out late", faults: func(w *Simulation) {
+		w.At(20*second, func() { w.Store.UnansweredFraction, w.Store.ApplyUnansweredAtOnce = 0.3, true })
 		w.At(45*second, func() { w.crashLeader(500 * time.Millisecond) })
-		w.At(70*second, func() { w.Store.AtOnce = false })
+		w.At(70*second, func() { w.Store.ApplyUnansweredAtOnce = false })
 		w.At(90*second, func() { w.crashLeader(300 * time.Millisecond) })
 		w.At(95*second, func() { w.cancelNow(4, 5*second) })
-		w.At(130*second, func() { w.Store.Unanswered = 0 })
+		w.At(130*second, func() { w.Store.UnansweredFraction = 0 })
 	}},
-	{name: "old reports reach every controller as a new leader begins", faults: func(w *World) {
-		w.ForNext, w.Copies = 0.4, 0.2
+	{name: "old reports reach every controller as a new leader begins", faults: func(w *Simulation) {
+		w.NextLeaderCopyFraction, w.LateReportCopyFraction = 0.4, 0.2
 		for i := range 6 {
 			w.At(time.Duration(30+19*i)*second, func() {
 				if keys := sortedKeys(w.Cloud.machines); len(keys) > 0 {
-					w.Cloud.Take(keys[w.Rnd.IntN(len(keys))])
+					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
 				}
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(3+w.Rnd.IntN(14)) * second)
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Restart()
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(3+w.Rand.IntN(14)) * second)
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Restart()
 				}
-				w.crashLeader(time.Duration(100+w.Rnd.IntN(2500)) * time.Millisecond)
+				w.crashLeader(time.Duration(100+w.Rand.IntN(2500)) * time.Millisecond)
 			})
 		}
-		w.At(150*second, func() { w.ForNext, w.Copies = 0, 0 })
+		w.At(150*second, func() { w.NextLeaderCopyFraction, w.LateReportCopyFraction = 0, 0 })
 	}},
-	{name: "commands and their answers are held up for seconds, and the machine goes on", faults: func(w *World) {
-		w.Repeats, w.Copies = 0.3, 0.1
-		w.At(160*second, func() { w.Repeats, w.Copies = 0, 0 })
+	{name: "commands and their answers are held up for seconds, and the machine goes on", faults: func(w *Simulation) {
+		w.RepeatFraction, w.LateReportCopyFraction = 0.3, 0.1
+		w.At(160*second, func() { w.RepeatFraction, w.LateReportCopyFraction = 0, 0 })
 		for i := range 14 {
 			w.At(time.Duration(25+8*i)*second, func() {
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					h := keys[w.Rnd.IntN(len(keys))]
+					h := keys[w.Rand.IntN(len(keys))]
 					if l := w.Leader(); l != nil {
 						ways := [][2]string{{l.Name, h}, {h, l.Name}}
 						w.link(ways[i%2][0], ways[i%2][1]).mode = "hold"
-						w.After(time.Duration(2+w.Rnd.IntN(9))*second, func() { w.Heal(l.Name, h) })
+						w.After(time.Duration(2+w.Rand.IntN(9))*second, func() { w.Heal(l.Name, h) })
 					}
 				}
 				if i%3 == 0 {
@@ -153,7 +153,7 @@
 		}
 		w.At(70*second, func() { w.crashLeader(400 * time.Millisecond) })
 	}},
-	{name: "a full team, cancelled jobs on machines out of reach, and the leader changes", limit: 8, load: func(w *World) { full(w, 120*second) }, faults: func(w *World) {
+	{name: "a full team, cancelled jobs on machines out of reach, and the leader changes", limit: 8, load: func(w *Simulation) { full(w, 120*second) }, faults: func(w *Simulation) {
 		for i := range 4 {
 			at := time.Duration(30+25*i) * second
 			w.At(at, func() {
@@ -163,7 +163,7 @@
 					case k%3 == 0:
 						w.cutOff(w.Workers[h], 14*second, "hold")
 					case k%3 == 1:
-						w.Workers[h].Hang(7 * second)
+						w.Workers[h].Pause(7 * second)
 					}
 				}
 			})
@@ -174,7 +174,7 @@
 				w.crashLeader(time.Duration(300+2000*i) * time.Millisecond)
 				if i == 3 { // none is left that knows what the cancelled jobs were
 					w.After(time.Second, func() {
-						for _, n := range w.Nodes {
+						for _, n := range w.Controllers {
 							n.CrashFor(400 * time.Millisecond)
 						}
 					})
@@ -182,14 +182,14 @@
 			})
 			w.At(at+1300*time.Millisecond, func() { w.cancelNow(2, 0) })
 			for k := range 6 { // new jobs, while some of what runs can't be seen
-				j := batch(fmt.Sprintf("req-%06d", 710000+10*i+k), 2)
+				j := batchJob(fmt.Sprintf("req-%06d", 710000+10*i+k), 2)
 				j.Class, j.Spot, j.Team = "full", true, "tight"
 				w.At(at+time.Duration(2+k)*second, func() { w.Users.Submit(j, 8*second) })
 			}
 			w.At(at+6*second, func() { w.cancelNow(1, 0) })
 		}
 	}},
-	{name: "a leader cut from state service and peers, jobs are cancelled through the new one", load: func(w *World) { long(w, 24) }, faults: func(w *World) {
+	{name: "a leader cut from state service and peers, jobs are cancelled through the new one", load: func(w *Simulation) { long(w, 24) }, faults: func(w *Simulation) {
 		for i := range 2 {
 			at := time.Duration(45+40*i) * second
 			w.At(at, func() {
@@ -201,13 +201,13 @@
 			w.At(at+7*second, func() { w.cancelNow(3, 0) })
 		}
 	}},
-	{name: "workers reach no controller, while commands reach them", faults: func(w *World) {
+	{name: "workers reach no controller, while commands reach them", faults: func(w *Simulation) {
 		for i := range 3 {
 			w.At(time.Duration(30+33*i)*second, func() {
 				for k, h := range sortedKeys(w.Workers) {
 					if wk := w.Workers[h]; i == 1 || k%2 == 0 {
-						wk.Mute = true
-						w.After(time.Duration(5+9*i)*second, func() { wk.Mute = false })
+						wk.CannotReport = true
+						w.After(time.Duration(5+9*i)*second, func() { wk.CannotReport = false })
 					}
 				}
 				w.After(3*second, func() { w.cancelNow(3, 0) })
@@ -217,31 +217,31 @@
 			})
 		}
 	}},
-	{name: "all controllers are away for longer than the lease", faults: func(w *World) {
+	{name: "all controllers are away for longer than the lease", faults: func(w *Simulation) {
 		w.At(50*second, func() { w.cancelNow(3, 12*second) })
 		w.At(51*second, func() {
-			for _, n := range w.Nodes {
+			for _, n := range w.Controllers {
 				n.CrashFor(15 * second)
 			}
 		})
 		w.At(100*second, func() {
-			for i, n := range w.Nodes {
+			for i, n := range w.Controllers {
 				n.CrashFor(time.Duration(11+6*i) * second)
 			}
 		})
 	}},
-	{name: "a zone with workers and a controller is cut off for longer than the lease", faults: func(w *World) {
+	{name: "a zone with workers and a controller is cut off for longer than the lease", faults: func(w *Simulation) {
 		w.At(40*second, func() { cutZone(w, "a", 25*second, "hold") })
 		w.At(44*second, func() { w.cancelNow(4, 0) })
 		w.At(90*second, func() {
 			if l := w.Leader(); l != nil {
-				cutZone(w, w.Opt.Zones[l.index], 20*second, "drop")
+				cutZone(w, w.Options.Zones[l.index], 20*second, "drop")
 			}
 		})
 		w.At(92*second, func() { w.cancelNow(4, 0) })
 		w.At(97*second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "jobs are cancelled as the work changes hands", faults: func(w *World) {
+	{name: "jobs are cancelled as the work changes hands", faults: func(w *Simulation) {
 		for i := range 6 {
 			at := time.Duration(30+20*i) * second
 			w.At(at, func() {
@@ -256,32 +256,32 @@
 			}
 		}
 	}},
-	{name: "new machines get work at once while writes lag, and the leader ends", opt: func(o *Options) { o.Types[0].BootS = 1 }, faults: func(w *World) {
+	{name: "new machines get work at once while writes lag, and the leader ends", opt: func(o *Options) { o.Types[0].BootS = 1 }, faults: func(w *Simulation) {
 		for i := range 5 {
 			at := time.Duration(20+25*i) * second
 			w.At(at, func() {
-				w.Store.Slow, w.Store.Unanswered, w.Store.AtOnce = 800*time.Millisecond, 0.3, i%2 == 0
+				w.Store.MaxExtraLatency, w.Store.UnansweredFraction, w.Store.ApplyUnansweredAtOnce = 800*time.Millisecond, 0.3, i%2 == 0
 				for _, h := range sortedKeys(w.Workers)[:min(3, len(w.Workers))] {
-					w.Cloud.Take(w.Workers[h].info.Host) // others are rented in their place
+					w.Cloud.RemoveMachine(w.Workers[h].info.Host) // others are rented in their place
 				}
 				for k := range 6 {
-					j := batch(fmt.Sprintf("req-%06d", 700000+10*i+k), 3)
+					j := batchJob(fmt.Sprintf("req-%06d", 700000+10*i+k), 3)
 					j.Class, j.Spot = "sudden", true
 					w.Users.Submit(j, 12*second)
 				}
 			})
 			w.At(at+time.Duration(2000+600*i)*time.Millisecond, func() { w.crashLeader(300 * time.Millisecond) })
-			w.At(at+12*second, func() { w.Store.Slow, w.Store.Unanswered = 0, 0 })
+			w.At(at+12*second, func() { w.Store.MaxExtraLatency, w.Store.UnansweredFraction = 0, 0 })
 		}
 	}},
-	{name: "a cancellation, a question or a repeated submission meets the end, with no other trouble", load: func(w *World) {
-		w.Users.AtEnd = 0.7
+	{name: "a cancellation, a question or a repeated submission meets the end, with no other trouble", load: func(w *Simulation) {
+		w.Users.CancelAtEndFraction = 0.7
 		apart(w, 130*second)
-	}, faults: func(w *World) {}},
+	}, faults: func(w *Simulation) {}},
 }
 
 // crashLeader kills whoever leads.
-func (w *World) crashLeader(d time.Duration) {
+func (w *Simulation) crashLeader(d time.Duration) {
 	if l := w.Leader(); l != nil {
 		l.CrashFor(d)
 	}
@@ -290,7 +290,7 @@
 // deafOnceFenced makes machines that run cancelled tasks deaf as soon as they
 // have shown themselves to a new leader, so that it knows of tasks that it can't
 // stop yet.
-func (w *World) deafOnceFenced(until time.Duration) {
+func (w *Simulation) deafOnceFenced(until time.Duration) {
 	term := map[*Worker]uint64{}
 	for _, wk := range w.Workers {
 		term[wk] = wk.epoch >> 20
@@ -300,9 +300,9 @@
 		for _, h := range sortedKeys(w.Workers) {
 			wk := w.Workers[h]
 			for task := range wk.tasks {
-				if w.Check.jobOf(task).asked && wk.epoch>>20 > term[wk] && !wk.Deaf {
-					wk.Deaf = true
-					w.After(8*second, func() { wk.Deaf = false })
+				if w.Checker.jobOf(task).cancelRequested && wk.epoch>>20 > term[wk] && !wk.CannotReceive {
+					wk.CannotReceive = true
+					w.After(8*second, func() { wk.CannotReceive = false })
 				}
 			}
 		}
@@ -314,21 +314,21 @@
 }
 
 // refuseLeader has the state service refuse whoever leads.
-func (w *World) refuseLeader(d time.Duration) {
+func (w *Simulation) refuseLeader(d time.Duration) {
 	if l := w.Leader(); l != nil {
-		w.Store.Refuse[l.Name] = true
-		w.After(d, func() { delete(w.Store.Refuse, l.Name) })
+		w.Store.UnavailableTo[l.Name] = true
+		w.After(d, func() { delete(w.Store.UnavailableTo, l.Name) })
 	}
 }
 
-func (w *World) outage(from, to time.Duration) {
-	w.At(from, func() { w.Store.Out = true })
+func (w *Simulation) outage(from, to time.Duration) {
+	w.At(from, func() { w.Store.Unavailable = true })
 	w.At(to, w.Store.Recover)
 }
 
 // cutOff cuts a machine from all controllers.
-func (w *World) cutOff(wk *Worker, d time.Duration, mode string) {
-	for _, n := range w.Nodes {
+func (w *Simulation) cutOff(wk *Worker, d time.Duration, mode string) {
+	for _, n := range w.Controllers {
 		w.Cut(n.Name, wk.info.Endpoint, mode)
 		w.After(d, func() { w.Heal(n.Name, wk.info.Endpoint) })
 	}
@@ -337,33 +337,33 @@
 // cancelNow has users cancel n jobs that run, within a fifth of a second, those
 // that would run on for long first; with hang, machines that run them hang that
 // long.
-func (w *World) cancelNow(n int, hang time.Duration) {
-	ids := sortedKeys(w.Check.jobs)
-	w.Rnd.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
+func (w *Simulation) cancelNow(n int, hang time.Duration) {
+	ids := sortedKeys(w.Checker.jobs)
+	w.Rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	slices.SortStableFunc(ids, func(a, b string) int {
-		return cmp.Compare(w.Check.jobs[b].runTime/(60*second), w.Check.jobs[a].runTime/(60*second))
+		return cmp.Compare(w.Checker.jobs[b].runTime/(60*second), w.Checker.jobs[a].runTime/(60*second))
 	})
 	for _, id := range ids {
-		t := w.Check.jobs[id]
-		if n == 0 || !t.accepted || t.asked || t.toldDone || len(t.on) == 0 {
+		t := w.Checker.jobs[id]
+		if n == 0 || !t.accepted || t.cancelRequested || t.confirmedDone || len(t.runningOn) == 0 {
 			continue
 		}
 		n--
 		if hang > 0 {
-			for _, task := range sortedKeys(t.on) {
-				if wk := t.on[task]; !wk.Hung {
-					wk.Hang(hang)
+			for _, task := range sortedKeys(t.runningOn) {
+				if wk := t.runningOn[task]; !wk.Paused {
+					wk.Pause(hang)
 				}
 			}
 		}
-		w.After(time.Duration(w.Rnd.Int64N(int64(200*time.Millisecond))), func() { w.Users.Cancel(id) })
+		w.After(time.Duration(w.Rand.Int64N(int64(200*time.Millisecond))), func() { w.Users.Cancel(id) })
 	}
 }
 
 // long submits jobs that run for most of the day, some of a team at its limit.
-func long(w *World, n int) {
+func long(w *Simulation, n int) {
 	for i := range n {
-		j := batch(fmt.Sprintf("req-%06d", 600000+i), 2+i%2)
+		j := batchJob(fmt.Sprintf("req-%06d", 600000+i), 2+i%2)
 		j.Class, j.Spot = "long", i%2 == 0
 		if i%4 == 0 {
 			j.Team = "tight"
@@ -373,25 +373,25 @@
 }
 
 // apart submits jobs of two or three tasks that end far apart.
-func apart(w *World, until time.Duration) {
+func apart(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+3*second {
-		j := batch(fmt.Sprintf("req-%06d", i), 2+i%2)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 2+i%2)
 		j.Class, j.Spot = "apart", true
-		w.At(at, func() { w.Users.SubmitSpread(j, 4*second, 25*second) })
+		w.At(at, func() { w.Users.SubmitStaggered(j, 4*second, 25*second) })
 	}
 }
 
 // bound submits jobs that must stay in one zone, one that they name or any.
-func bound(w *World, until time.Duration) {
+func bound(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+4*second {
-		j := batch(fmt.Sprintf("req-%06d", i), 1+i%6)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 1+i%6)
 		j.Class, j.Spot, j.OneZone = "bound", true, true
 		if i%3 == 0 {
-			j.Zone, j.OneZone = w.Opt.Zones[i/3%3], i%2 == 0
+			j.Zone, j.OneZone = w.Options.Zones[i/3%3], i%2 == 0
 		}
 		run := time.Duration(6+i%20) * second
 		if i%7 == 3 {
-			j = service(j.ID, 2)
+			j = serviceJob(j.ID, 2)
 			j.Class, j.Spread, j.OneZone = "boundservice", false, true
 		}
 		w.At(at, func() { w.Users.Submit(j, run) })
@@ -399,15 +399,15 @@
 }
 
 // small submits one-task jobs four a second, a quarter of them cancelled.
-func small(w *World, until time.Duration) {
-	rnd := rand.New(rand.NewPCG(w.Opt.Seed, 5))
+func small(w *Simulation, until time.Duration) {
+	rnd := rand.New(rand.NewPCG(w.Options.Seed, 5))
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+250*time.Millisecond {
-		j := batch(fmt.Sprintf("req-%06d", i), 1)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 1)
 		j.Class, j.Spot = "small", true
 		w.At(at, func() { w.Users.Submit(j, 5*second) })
 		if i%4 == 0 {
 			w.At(at+time.Duration(rnd.IntN(9000))*time.Millisecond, func() {
-				if w.Check.jobs[j.ID].accepted {
+				if w.Checker.jobs[j.ID].accepted {
 					w.Users.Cancel(j.ID)
 				}
 			})
@@ -416,21 +416,21 @@
 }
 
 // full keeps a team at its limit.
-func full(w *World, until time.Duration) {
+func full(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+7*second {
-		j := batch(fmt.Sprintf("req-%06d", i), 1+i%4)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 1+i%4)
 		j.Class, j.Spot, j.Team, j.EstimateS = "full", true, "tight", 20
 		w.At(at, func() { w.Users.Submit(j, 20*second) })
 	}
 }
 
 // crowd submits more than there is room for, urgent and not.
-func crowd(w *World, until time.Duration) {
+func crowd(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+2*second {
-		j := batch(fmt.Sprintf("req-%06d", i), 3+i%5)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 3+i%5)
 		j.Class, j.Spot, j.Priority, j.CPUs = "crowd"+j.Priority, true, []string{model.PriorityNormal, model.PriorityLow, model.PriorityHigh}[i%3], 2
 		if i%9 == 4 {
-			j = service(j.ID, 1)
+			j = serviceJob(j.ID, 1)
 			j.Class = "crowdservice"
 			w.At(at+60*second, func() { w.Users.Cancel(j.ID) })
 		}
@@ -440,10 +440,10 @@
 
 // odd has users repeat submissions, cancel what is done and submit what can
 // never run.
-func odd(w *World, until time.Duration) {
+func odd(w *Simulation, until time.Duration) {
 	for i, at := 0, 20*second; at < until; i, at = i+1, at+7*second {
 		w.At(at, func() {
-			never := batch(fmt.Sprintf("req-%06d", 800000+i), 1)
+			never := batchJob(fmt.Sprintf("req-%06d", 800000+i), 1)
 			switch i % 3 {
 			case 0:
 				never.CPUs = 64
@@ -452,16 +452,16 @@
 			case 2:
 				never.Team = "nobody"
 			}
-			w.Users.Impossible(never)
-			for _, id := range sortedKeys(w.Check.jobs) {
-				t := w.Check.jobs[id]
+			w.Users.SubmitImpossible(never)
+			for _, id := range sortedKeys(w.Checker.jobs) {
+				t := w.Checker.jobs[id]
 				asked := w.Now
 				switch {
-				case !t.accepted || w.Rnd.IntN(4) > 0:
-				case t.toldDone:
-					w.Users.ask(func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }, 5*second, func(r core.Reply) { w.Check.told(t, asked, r) })
-				case t.toldCancelled == 0:
-					w.Users.ask(w.Users.submission(t.spec), 5*second, func(r core.Reply) { w.Check.told(t, asked, r) })
+				case !t.accepted || w.Rand.IntN(4) > 0:
+				case t.confirmedDone:
+					w.Users.sendRequest(func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }, 5*second, func(r core.Reply) { w.Checker.checkReply(t, asked, r) })
+				case t.cancelConfirmedAt == 0:
+					w.Users.sendRequest(w.Users.submitEvent(t.spec), 5*second, func(r core.Reply) { w.Checker.checkReply(t, asked, r) })
 				}
 			}
 		})
@@ -484,7 +484,7 @@
 				list = append(list, uint64(seed+1))
 			}
 			for _, seed := range list {
-				opt := Defaults(seed)
+				opt := DefaultOptions(seed)
 				limit := m.limit
 				if limit == 0 {
 					limit = 9
@@ -494,7 +494,7 @@
 					m.opt(&opt)
 				}
 				w := New(opt)
-				w.Users.Close, w.Users.AtEnd = true, 0.1
+				w.Users.ProbesAllControllers, w.Users.CancelAtEndFraction = true, 0.1
 				if m.load != nil {
 					m.load(w)
 				} else {
@@ -504,19 +504,19 @@
 				odd(w, 150*second)
 				watchLeaders(w)
 				m.faults(w)
-				w.At(170*second, w.Check.Waits)
-				w.Run(200 * second)
-				w.Check.Known(75 * second)
-				w.Run(300 * second)
-				w.Check.Served()
-				for _, b := range w.Check.Broken {
+				w.At(170*second, w.Checker.CheckWaiting)
+				w.RunUntil(200 * second)
+				w.Checker.CheckKnown(75 * second)
+				w.RunUntil(300 * second)
+				w.Checker.CheckServed()
+				for _, b := range w.Checker.Violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				accepted, done := w.Check.Jobs()
+				accepted, done := w.Checker.CountBatchJobs()
 				if accepted == 0 || done < accepted {
 					t.Errorf("seed %d: %d of %d jobs done at the end of the day", seed, done, accepted)
 				}
-				t.Logf("seed %d: %d starts, %d of them late, %d of %d jobs done", seed, w.Check.Starts, w.Check.LateStarts, done, accepted)
+				t.Logf("seed %d: %d starts, %d of them late, %d of %d jobs done", seed, w.Checker.TaskStarts, w.Checker.StartsAfterCancellation, done, accepted)
 			}
 		})
 	}
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -12,13 +12,13 @@
 
 // Cut breaks the network between two hosts, both ways. mode "drop" loses
 // packets, "hold" delivers them when the cut is healed.
-func (w *World) Cut(a, b, mode string) {
+func (w *Simulation) Cut(a, b, mode string) {
 	w.link(a, b).mode = mode
 	w.link(b, a).mode = mode
 }
 
 // Heal mends it; what was held is delivered late.
-func (w *World) Heal(a, b string) {
+func (w *Simulation) Heal(a, b string) {
 	for _, l := range []*link{w.link(a, b), w.link(b, a)} {
 		l.mode = ""
 		held := l.held
@@ -29,7 +29,7 @@
 	}
 }
 
-func (w *World) link(a, b string) *link {
+func (w *Simulation) link(a, b string) *link {
 	k := [2]string{a, b}
 	if w.links[k] == nil {
 		w.links[k] = &link{}
@@ -37,12 +37,12 @@
 	return w.links[k]
 }
 
-func (w *World) latency() time.Duration {
-	return time.Millisecond + time.Duration(w.Rnd.Int64N(int64(4*time.Millisecond)))
+func (w *Simulation) latency() time.Duration {
+	return time.Millisecond + time.Duration(w.Rand.Int64N(int64(4*time.Millisecond)))
 }
 
 // send delivers f from a to b, or not.
-func (w *World) send(a, b string, f func()) {
+func (w *Simulation) send(a, b string, f func()) {
 	l := w.link(a, b)
 	switch l.mode {
 	case "drop":
@@ -53,10 +53,10 @@
 	}
 }
 
-// repeat runs f once more, by a moment or by well over a lease later, for a
+// maybeRepeat runs f once more, by a moment or by well over a lease later, for a
 // part of the requests.
-func (w *World) repeat(f func()) {
-	if w.Repeats > 0 && w.Rnd.Float64() < w.Repeats {
-		w.After(time.Second+time.Duration(w.Rnd.Int64N(int64(3*w.Opt.Config.Lease))), f)
+func (w *Simulation) maybeRepeat(f func()) {
+	if w.RepeatFraction > 0 && w.Rand.Float64() < w.RepeatFraction {
+		w.After(time.Second+time.Duration(w.Rand.Int64N(int64(3*w.Options.Config.Lease))), f)
 	}
 }
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -24,7 +24,7 @@
 
 // between draws a time.
 func (d *randomDay) between(from, to float64) time.Duration {
-	return time.Duration((from + d.Rnd.Float64()*(to-from)) * float64(time.Second))
+	return time.Duration((from + d.Rand.Float64()*(to-from)) * float64(time.Second))
 }
 
 // note keeps what was drawn, for whoever reads a failure.
@@ -36,7 +36,7 @@
 func (d *randomDay) some(from, length time.Duration, f, undo func(wk *Worker)) {
 	d.At(from, func() {
 		for _, h := range sortedKeys(d.Workers) {
-			if wk := d.Workers[h]; d.Rnd.IntN(3) == 0 {
+			if wk := d.Workers[h]; d.Rand.IntN(3) == 0 {
 				f(wk)
 				d.After(length, func() { undo(wk) })
 			}
@@ -58,21 +58,21 @@
 	name  string
 	begin func(d *randomDay, from, length time.Duration)
 }{
-	{"leaders end", func(d *randomDay, from, _ time.Duration) { d.leadersEnd(from, 1+d.Rnd.IntN(8)) }},
+	{"leaders end", func(d *randomDay, from, _ time.Duration) { d.leadersEnd(from, 1+d.Rand.IntN(8)) }},
 	{"all controllers end", func(d *randomDay, from, _ time.Duration) {
 		restart := d.between(0.2, 8)
 		d.At(from, func() {
-			for _, n := range d.Nodes {
+			for _, n := range d.Controllers {
 				n.CrashFor(restart)
 			}
 		})
 	}},
 	{"the leader stands still", func(d *randomDay, from, _ time.Duration) {
-		for range 1 + d.Rnd.IntN(4) {
+		for range 1 + d.Rand.IntN(4) {
 			length := d.between(2, 12)
 			d.At(from, func() {
 				if l := d.Leader(); l != nil {
-					l.Freeze(length)
+					l.Pause(length)
 				}
 			})
 			from += d.between(6, 16)
@@ -80,9 +80,9 @@
 	}},
 	{"slow controllers", func(d *randomDay, from, length time.Duration) {
 		work := d.between(0.001, 0.02)
-		for _, n := range d.Nodes {
-			d.At(from, func() { n.Work = work })
-			d.At(from+length, func() { n.Work = 0 })
+		for _, n := range d.Controllers {
+			d.At(from, func() { n.StepDuration = work })
+			d.At(from+length, func() { n.StepDuration = 0 })
 		}
 	}},
 	{"the leader is refused", func(d *randomDay, from, length time.Duration) { d.At(from, func() { d.refuseLeader(length) }) }},
@@ -90,41 +90,41 @@
 	{"the leader keeps only its workers", func(d *randomDay, from, length time.Duration) {
 		d.At(from, func() {
 			if l := d.Leader(); l != nil {
-				alone(d.World, l, length)
+				alone(d.Simulation, l, length)
 			}
 		})
 	}},
 	{"machines hang", func(d *randomDay, from, length time.Duration) {
 		d.some(from, length, func(wk *Worker) {
-			if !wk.Hung {
-				wk.Hang(length)
+			if !wk.Paused {
+				wk.Pause(length)
 			}
 		}, func(*Worker) {})
 	}},
 	{"deaf machines", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) { wk.Deaf = true }, func(wk *Worker) { wk.Deaf = false })
+		d.some(from, length, func(wk *Worker) { wk.CannotReceive = true }, func(wk *Worker) { wk.CannotReceive = false })
 	}},
 	{"mute machines", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) { wk.Mute = true }, func(wk *Worker) { wk.Mute = false })
+		d.some(from, length, func(wk *Worker) { wk.CannotReport = true }, func(wk *Worker) { wk.CannotReport = false })
 	}},
 	{"machines cut off", func(d *randomDay, from, length time.Duration) {
 		d.some(from, length, func(wk *Worker) { d.cutOff(wk, length, "hold") }, func(*Worker) {})
 	}},
 	{"the cloud is out", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.Cloud.Out = true })
-		d.At(from+length, func() { d.Cloud.Out = false })
+		d.At(from, func() { d.Cloud.Unavailable = true })
+		d.At(from+length, func() { d.Cloud.Unavailable = false })
 	}},
 	{"late commands", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.LateCommands = 0.5 })
-		d.At(from+length, func() { d.LateCommands = 0 })
+		d.At(from, func() { d.LateCommandFraction = 0.5 })
+		d.At(from+length, func() { d.LateCommandFraction = 0 })
 	}},
 	{"late reports", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.Copies = 0.3 })
-		d.At(from+length, func() { d.Copies = 0 })
+		d.At(from, func() { d.LateReportCopyFraction = 0.3 })
+		d.At(from+length, func() { d.LateReportCopyFraction = 0 })
 	}},
 	{"late writes", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.Store.Unanswered, d.Store.AtOnce = 0.3, d.Rnd.IntN(2) == 0 })
-		d.At(from+length, func() { d.Store.Unanswered = 0 })
+		d.At(from, func() { d.Store.UnansweredFraction, d.Store.ApplyUnansweredAtOnce = 0.3, d.Rand.IntN(2) == 0 })
+		d.At(from+length, func() { d.Store.UnansweredFraction = 0 })
 	}},
 }
 
@@ -133,9 +133,9 @@
 // leader changes ten times in two minutes while commands are late.
 func newRandomDay(seed uint64) *randomDay {
 	d := &randomDay{grown: growTo(largest(seed), 20)}
-	d.Users.Close = true
+	d.Users.ProbesAllControllers = true
 	for i := range 24 {
-		j := batch(fmt.Sprintf("req-%06d", i), 2+i%6)
+		j := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
 		j.Class = "long"
 		d.At(time.Duration(2+i)*second, func() { d.Users.Submit(j, 300*second) })
 	}
@@ -148,11 +148,11 @@
 		from := 60*second + d.between(-8, 3)
 		d.note("%v: ten changes, late commands", from)
 		d.leadersEnd(from, 10)
-		d.At(from, func() { d.LateCommands = 0.5 })
-		d.At(from+120*second, func() { d.LateCommands = 0 })
+		d.At(from, func() { d.LateCommandFraction = 0.5 })
+		d.At(from+120*second, func() { d.LateCommandFraction = 0 })
 	}
 	for range 3 {
-		trouble := randomTroubles[d.Rnd.IntN(len(randomTroubles))]
+		trouble := randomTroubles[d.Rand.IntN(len(randomTroubles))]
 		from, length := d.between(50, 85), d.between(3, 45)
 		d.note("%v: %s for %v", from, trouble.name, length)
 		trouble.begin(d, from, length)
@@ -179,15 +179,15 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := newRandomDay(seed)
-			watchLeaders(d.World)
-			d.Run(180 * second)
-			for _, b := range d.Check.Broken {
+			watchLeaders(d.Simulation)
+			d.RunUntil(180 * second)
+			for _, b := range d.Checker.Violations {
 				t.Errorf("%s (%s)", b, strings.Join(d.drawn, "; "))
 			}
-			if tellingRandomDays[seed] != "" && d.Check.Cancelled == 0 {
+			if tellingRandomDays[seed] != "" && d.Checker.CancelledTasksStopped == 0 {
 				t.Error("no task of a cancelled job was seen to go")
 			}
-			t.Logf("margin %v, %d cancelled tasks", d.Check.LeastMargin, d.Check.Cancelled)
+			t.Logf("margin %v, %d cancelled tasks", d.Checker.LeastMargin, d.Checker.CancelledTasksStopped)
 		})
 	}
 }
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -84,18 +84,18 @@
 	loweredWrites     = 35
 )
 
-func (w *World) lowerLimits() {
-	w.Store.MaxValue, w.Store.MaxOps, w.Store.MaxWrites = loweredValueBytes, loweredTxnOps, loweredWrites
+func (w *Simulation) lowerLimits() {
+	w.Store.MaxValueBytes, w.Store.MaxTxnChanges, w.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWrites
 }
 
 // rollOptions are those of a cluster that runs the former version and is rolled
 // over to the present one, which keeps to the lowered limits from the start.
 func rollOptions(seed uint64) Options {
-	opt := Defaults(seed)
+	opt := DefaultOptions(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 	former := opt.Config
 	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWrites
-	opt.Former = func(c *core.Config) {
+	opt.ConfigurePreviousVersion = func(c *core.Config) {
 		c.MaxValueBytes, c.MaxTxnOps, c.StoreWriteRPS = former.MaxValueBytes, former.MaxTxnOps, former.StoreWriteRPS
 	}
 	opt.Capacity = 20
@@ -111,7 +111,7 @@
 	gangAt time.Duration              // when the first gang was accepted
 }
 
-func (r *rollWatch) tamper(w *World, n *Node, e core.Effect) core.Effect {
+func (r *rollWatch) tamper(w *Simulation, n *Controller, e core.Effect) core.Effect {
 	switch e := e.(type) {
 	case core.StoreCall:
 		r.written(w, n, e)
@@ -123,8 +123,8 @@
 	return e
 }
 
-func (r *rollWatch) written(w *World, n *Node, c core.StoreCall) {
-	if w.Old[n.Name] {
+func (r *rollWatch) written(w *Simulation, n *Controller, c core.StoreCall) {
+	if w.OnPreviousVersion[n.Name] {
 		return
 	}
 	if len(c.Changes) > loweredTxnOps {
@@ -162,39 +162,39 @@
 var rollFaults = []struct {
 	name     string
 	limitsAt time.Duration // 0: 100 s, after the roll
-	play     func(w *World, turns []time.Duration)
+	play     func(w *Simulation, turns []time.Duration)
 }{
-	{name: "the leader ends for a moment", play: func(w *World, _ []time.Duration) {
+	{name: "the leader ends for a moment", play: func(w *Simulation, _ []time.Duration) {
 		w.At(50*second, func() { w.crashLeader(300 * time.Millisecond) })
 	}},
-	{name: "the state service is out", play: func(w *World, _ []time.Duration) { w.outage(55*second, 68*second) }},
-	{name: "the state service refuses the leader", play: func(w *World, _ []time.Duration) {
+	{name: "the state service is out", play: func(w *Simulation, _ []time.Duration) { w.outage(55*second, 68*second) }},
+	{name: "the state service refuses the leader", play: func(w *Simulation, _ []time.Duration) {
 		w.At(52*second, func() { w.refuseLeader(9 * second) })
 	}},
-	{name: "a zone is cut off", play: func(w *World, _ []time.Duration) {
+	{name: "a zone is cut off", play: func(w *Simulation, _ []time.Duration) {
 		w.At(54*second, func() { cutZone(w, "b", 12*second, "hold") })
 	}},
-	{name: "the leader ends at each step", play: func(w *World, turns []time.Duration) {
+	{name: "the leader ends at each step", play: func(w *Simulation, turns []time.Duration) {
 		for _, at := range turns {
 			w.At(at-2*second, func() { w.crashLeader(time.Second) })
 			w.At(at+5*second, func() { w.crashLeader(time.Second) })
 		}
 	}},
-	{name: "the state service refuses a follower", play: func(w *World, turns []time.Duration) {
+	{name: "the state service refuses a follower", play: func(w *Simulation, turns []time.Duration) {
 		w.At(turns[0]+4*second, func() {
-			for _, n := range w.Nodes {
+			for _, n := range w.Controllers {
 				if n != w.Leader() {
-					w.Store.Refuse[n.Name] = true
-					w.After(25*second, func() { delete(w.Store.Refuse, n.Name) })
+					w.Store.UnavailableTo[n.Name] = true
+					w.After(25*second, func() { delete(w.Store.UnavailableTo, n.Name) })
 					break
 				}
 			}
 		})
 	}},
-	{name: "the limits fall amid the roll", limitsAt: 57 * second, play: func(*World, []time.Duration) {}},
-	{name: "the state service is slow, answers are lost", play: func(w *World, _ []time.Duration) {
-		w.At(41*second, func() { w.Store.Slow, w.Store.Unanswered = 300*time.Millisecond, 0.2 })
-		w.At(90*second, func() { w.Store.Slow, w.Store.Unanswered = 0, 0 })
+	{name: "the limits fall amid the roll", limitsAt: 57 * second, play: func(*Simulation, []time.Duration) {}},
+	{name: "the state service is slow, answers are lost", play: func(w *Simulation, _ []time.Duration) {
+		w.At(41*second, func() { w.Store.MaxExtraLatency, w.Store.UnansweredFraction = 300*time.Millisecond, 0.2 })
+		w.At(90*second, func() { w.Store.MaxExtraLatency, w.Store.UnansweredFraction = 0, 0 })
 	}},
 }
 
@@ -223,8 +223,8 @@
 			opt := rollOptions(seed)
 			opt.Tamper = watch.tamper
 			w := New(opt)
-			w.Users.Close = true
-			w.Cloud.Slow = 0.2
+			w.Users.ProbesAllControllers = true
+			w.Cloud.BootTimeFactor = 0.2
 			for _, zone := range opt.Zones { // more than a page holds under the lowered limits
 				w.Cloud.Rent("small", zone, false, 16)
 			}
@@ -236,20 +236,20 @@
 				mixes[mix] = true
 				mu.Unlock()
 			})
-			crash := func(at time.Duration, n *Node) {
-				w.At(at, func() { n.CrashFor(time.Duration(200+w.Rnd.IntN(3000)) * time.Millisecond) })
+			crash := func(at time.Duration, n *Controller) {
+				w.At(at, func() { n.CrashFor(time.Duration(200+w.Rand.IntN(3000)) * time.Millisecond) })
 			}
 			var turns []time.Duration
 			for i, k := range orders[seed%uint64(len(orders))] {
-				n := w.Nodes[k]
-				at := time.Duration(40+12*i+w.Rnd.IntN(8)) * second
+				n := w.Controllers[k]
+				at := time.Duration(40+12*i+w.Rand.IntN(8)) * second
 				w.replace(n, at)
 				turns = append(turns, at)
-				if w.Rnd.IntN(2) == 0 {
-					crash(at-time.Duration(3+w.Rnd.IntN(9))*second, n) // it comes back old
+				if w.Rand.IntN(2) == 0 {
+					crash(at-time.Duration(3+w.Rand.IntN(9))*second, n) // it comes back old
 				}
-				if w.Rnd.IntN(2) == 0 {
-					crash(at+time.Duration(5+w.Rnd.IntN(5))*second, n) // and new
+				if w.Rand.IntN(2) == 0 {
+					crash(at+time.Duration(5+w.Rand.IntN(5))*second, n) // and new
 				}
 			}
 			day.play(w, turns)
@@ -259,19 +259,19 @@
 			}
 			w.At(limitsAt, w.lowerLimits)
 			w.At(105*second, func() { // a page that a former leader wrote has to change
-				w.Cloud.Take("n-000003")
-				w.Cloud.Take("n-000020")
+				w.Cloud.RemoveMachine("n-000003")
+				w.Cloud.RemoveMachine("n-000020")
 			})
 			w.At(115*second, func() {
-				for _, n := range w.Nodes {
+				for _, n := range w.Controllers {
 					n.CrashFor(500 * time.Millisecond)
 				}
 			})
-			w.Run(220 * second)
-			w.Check.Known(75 * second)
-			w.Run(330 * second)
-			w.Check.Served()
-			for _, b := range w.Check.Broken {
+			w.RunUntil(220 * second)
+			w.Checker.CheckKnown(75 * second)
+			w.RunUntil(330 * second)
+			w.Checker.CheckServed()
+			for _, b := range w.Checker.Violations {
 				t.Error(b)
 			}
 			rolled := turns[len(turns)-1]
@@ -281,16 +281,16 @@
 			if watch.gangAt <= watch.raised {
 				t.Errorf("a gang was accepted at %v, the cluster version was raised at %v", watch.gangAt, watch.raised)
 			}
-			if day.limitsAt == 0 && w.Store.Refused+w.Store.Refused429 > 0 {
-				t.Errorf("%d transactions beyond the lowered limits, %d beyond the rate", w.Store.Refused, w.Store.Refused429)
+			if day.limitsAt == 0 && w.Store.RefusedTooLarge+w.Store.RefusedRateLimited > 0 {
+				t.Errorf("%d transactions beyond the lowered limits, %d beyond the rate", w.Store.RefusedTooLarge, w.Store.RefusedRateLimited)
 			}
 			gangs := 0
-			for _, x := range w.Check.jobs {
-				if x.spec.Kind == model.KindGang && x.toldDone {
+			for _, x := range w.Checker.jobs {
+				if x.spec.Kind == model.KindGang && x.confirmedDone {
 					gangs++
 				}
 			}
-			if accepted, done := w.Check.Jobs(); accepted < 10 || done < accepted || gangs < 5 {
+			if accepted, done := w.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
 				t.Errorf("%d of %d jobs and %d gangs done at the end of the day", done, accepted, gangs)
 			}
 		})
@@ -298,25 +298,25 @@
 }
 
 // replace changes a controller over to the present version at a time.
-func (w *World) replace(n *Node, at time.Duration) {
+func (w *Simulation) replace(n *Controller, at time.Duration) {
 	w.At(at, func() {
-		w.Old[n.Name] = false
+		w.OnPreviousVersion[n.Name] = false
 		n.CrashFor(3 * second)
 	})
 }
 
 // watchMixes reports, all day, which version leads beside how many former ones.
-func watchMixes(w *World, seen func(mix string)) {
+func watchMixes(w *Simulation, seen func(mix string)) {
 	var look func()
 	look = func() {
 		if l := w.Leader(); l != nil {
 			others := 0
-			for _, n := range w.Nodes {
-				if n != l && n.Up() && n.old {
+			for _, n := range w.Controllers {
+				if n != l && n.IsRunning() && n.runsPreviousVersion {
 					others++
 				}
 			}
-			seen(fmt.Sprintf("leader old: %v, others old: %d", l.old, others))
+			seen(fmt.Sprintf("leader old: %v, others old: %d", l.runsPreviousVersion, others))
 		}
 		w.After(100*time.Millisecond, look)
 	}
@@ -332,21 +332,21 @@
 		name string
 		// play keeps the first controller from the others from some time after its
 		// replacement until 200 s; the last one is replaced at 80 s.
-		play  func(w *World, n *Node)
+		play  func(w *Simulation, n *Controller)
 		taken bool // gangs, before it is back
 	}{
-		{"cut from the other controllers", func(w *World, n *Node) {
+		{"cut from the other controllers", func(w *Simulation, n *Controller) {
 			w.At(46*second, func() { cutPeers(w, n, 154*second) })
-			w.replace(w.Nodes[1], 65*second)
+			w.replace(w.Controllers[1], 65*second)
 		}, true},
-		{"ended", func(w *World, n *Node) {
+		{"ended", func(w *Simulation, n *Controller) {
 			w.At(50*second, func() { n.CrashFor(150 * second) })
-			w.replace(w.Nodes[1], 65*second)
+			w.replace(w.Controllers[1], 65*second)
 		}, true},
-		{"changed back, heard of, and cut off", func(w *World, n *Node) {
-			w.replace(w.Nodes[1], 50*second)
-			w.At(58*second, func() { w.Nodes[2].CrashFor(14 * second) })
-			w.At(60*second, func() { w.Old[n.Name] = true; n.CrashFor(second) })
+		{"changed back, heard of, and cut off", func(w *Simulation, n *Controller) {
+			w.replace(w.Controllers[1], 50*second)
+			w.At(58*second, func() { w.Controllers[2].CrashFor(14 * second) })
+			w.At(60*second, func() { w.OnPreviousVersion[n.Name] = true; n.CrashFor(second) })
 			w.At(70*second, func() { cutPeers(w, n, 130*second) })
 		}, false},
 	} {
@@ -360,15 +360,15 @@
 				load(w, 130*second)
 				gangs(w, 130*second)
 				watchLeaders(w)
-				w.replace(w.Nodes[0], 40*second)
-				c.play(w, w.Nodes[0])
-				w.replace(w.Nodes[2], 80*second)
-				w.Run(200 * second)
+				w.replace(w.Controllers[0], 40*second)
+				c.play(w, w.Controllers[0])
+				w.replace(w.Controllers[2], 80*second)
+				w.RunUntil(200 * second)
 				if taken := watch.gangAt != 0 && watch.gangAt < 110*second; taken != c.taken {
 					t.Errorf("seed %d: the first gang was accepted at %v, the cluster version raised at %v", seed, watch.gangAt, watch.raised)
 				}
-				w.Run(250 * second)
-				for _, b := range w.Check.Broken {
+				w.RunUntil(250 * second)
+				for _, b := range w.Checker.Violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 			}
@@ -377,8 +377,8 @@
 }
 
 // cutPeers cuts a controller from the others, not from anything else.
-func cutPeers(w *World, n *Node, d time.Duration) {
-	for _, o := range w.Nodes {
+func cutPeers(w *Simulation, n *Controller, d time.Duration) {
+	for _, o := range w.Controllers {
 		if o != n {
 			w.Cut(n.Name, o.Name, "drop")
 			w.After(d, func() { w.Heal(n.Name, o.Name) })
--- a/internal/sim/service_test.go
+++ b/internal/sim/service_test.go
@@ -16,8 +16,8 @@
 
 // load submits a mixed day: services, batches and long low-priority work,
 // some of it cancelled.
-func load(w *World, until time.Duration) {
-	rnd := rand.New(rand.NewPCG(w.Opt.Seed, 99))
+func load(w *Simulation, until time.Duration) {
+	rnd := rand.New(rand.NewPCG(w.Options.Seed, 99))
 	n := 0
 	submit := func(at time.Duration, j model.Job, run time.Duration) string {
 		n++
@@ -44,17 +44,17 @@
 		}
 		if rnd.IntN(4) == 0 {
 			w.At(at+time.Duration(rnd.IntN(30))*second, func() {
-				if w.Check.jobs[id].accepted {
+				if w.Checker.jobs[id].accepted {
 					w.Users.Cancel(id)
 				}
 			})
 		}
-		w.At(at, func() { w.Users.Stranger(fmt.Sprintf("req-9%05d", rnd.IntN(1000))) })
+		w.At(at, func() { w.Users.PollUnknown(fmt.Sprintf("req-9%05d", rnd.IntN(1000))) })
 	}
 }
 
 // watchLeaders looks for two leaders at a time, all day.
-func watchLeaders(w *World) {
+func watchLeaders(w *Simulation) {
 	var look func()
 	look = func() {
 		w.Leader()
@@ -66,10 +66,10 @@
 // The days: what the operators have seen, alone and together.
 var days = []struct {
 	name   string
-	faults func(w *World)
+	faults func(w *Simulation)
 }{
-	{"quiet", func(w *World) {}},
-	{"leader crashes again and again", func(w *World) {
+	{"quiet", func(w *Simulation) {}},
+	{"leader crashes again and again", func(w *Simulation) {
 		for at := 30 * second; at < 150*second; at += 23 * second {
 			w.At(at, func() {
 				if n := w.Leader(); n != nil {
@@ -78,38 +78,38 @@
 			})
 		}
 	}},
-	{"all crash while the state service is down", func(w *World) {
-		w.At(40*second, func() { w.Store.Out = true })
+	{"all crash while the state service is down", func(w *Simulation) {
+		w.At(40*second, func() { w.Store.Unavailable = true })
 		w.At(45*second, func() {
-			for _, n := range w.Nodes {
+			for _, n := range w.Controllers {
 				n.Crash()
 			}
 		})
 		w.At(70*second, w.Store.Recover)
 	}},
-	{"state outage longer than the lease", func(w *World) {
-		w.At(40*second, func() { w.Store.Out = true })
+	{"state outage longer than the lease", func(w *Simulation) {
+		w.At(40*second, func() { w.Store.Unavailable = true })
 		w.At(70*second, w.Store.Recover)
 	}},
-	{"leader refused by the state service alone", func(w *World) {
+	{"leader refused by the state service alone", func(w *Simulation) {
 		w.At(40*second, func() {
 			n := w.Leader()
-			w.Store.Refuse[n.Name] = true
-			w.At(80*second, func() { delete(w.Store.Refuse, n.Name) })
+			w.Store.UnavailableTo[n.Name] = true
+			w.At(80*second, func() { delete(w.Store.UnavailableTo, n.Name) })
 		})
 	}},
-	{"leader cut from the state service, packets held", func(w *World) {
+	{"leader cut from the state service, packets held", func(w *Simulation) {
 		w.At(40*second, func() {
 			n := w.Leader()
 			w.Cut(n.Name, "state", "hold")
 			w.At(90*second, func() { w.Heal(n.Name, "state") })
 		})
 	}},
-	{"leader cut from all, packets held for minutes", func(w *World) {
+	{"leader cut from all, packets held for minutes", func(w *Simulation) {
 		w.At(40*second, func() {
 			n := w.Leader()
 			hosts := []string{"state", "cloud", "users"}
-			for _, o := range w.Nodes {
+			for _, o := range w.Controllers {
 				hosts = append(hosts, o.Name)
 			}
 			hosts = append(hosts, sortedKeys(w.Workers)...)
@@ -123,7 +123,7 @@
 			})
 		})
 	}},
-	{"leader cut from the workers alone", func(w *World) {
+	{"leader cut from the workers alone", func(w *Simulation) {
 		w.At(40*second, func() {
 			n := w.Leader()
 			hosts := sortedKeys(w.Workers)
@@ -137,7 +137,7 @@
 			})
 		})
 	}},
-	{"leader cut from the workers, and its successor crashes", func(w *World) {
+	{"leader cut from the workers, and its successor crashes", func(w *Simulation) {
 		w.At(40*second, func() {
 			n := w.Leader()
 			cut := map[string]bool{}
@@ -153,7 +153,7 @@
 			})
 			w.At(74*second, func() {
 				if w.Leader() == n {
-					w.Check.broken("cut_leader", "%s leads again, still cut from the workers", n.Name)
+					w.Checker.reportViolation("cut_leader", "%s leads again, still cut from the workers", n.Name)
 				}
 			})
 			w.At(101*second, func() {
@@ -163,39 +163,39 @@
 			})
 		})
 	}},
-	{"restarts inside an election", func(w *World) {
+	{"restarts inside an election", func(w *Simulation) {
 		w.At(40*second, func() { w.Leader().Crash() })
 		for i := 0; i < 12; i++ {
-			w.At(42*second+time.Duration(i)*700*time.Millisecond, func() { w.Nodes[i%len(w.Nodes)].Crash() })
+			w.At(42*second+time.Duration(i)*700*time.Millisecond, func() { w.Controllers[i%len(w.Controllers)].Crash() })
 		}
 	}},
-	{"machines hang, go on later, and commands come late", func(w *World) {
+	{"machines hang, go on later, and commands come late", func(w *Simulation) {
 		for at := 30 * second; at < 140*second; at += 9 * second {
 			w.At(at, func() {
 				keys := sortedKeys(w.Workers)
 				if len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(4+w.Rnd.IntN(14)) * second)
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(4+w.Rand.IntN(14)) * second)
 				}
 			})
 		}
 	}},
-	{"machines taken without notice", func(w *World) {
+	{"machines taken without notice", func(w *Simulation) {
 		for at := 30 * second; at < 140*second; at += 11 * second {
 			w.At(at, func() {
 				keys := sortedKeys(w.Cloud.machines)
 				if len(keys) > 0 {
-					w.Cloud.Take(keys[w.Rnd.IntN(len(keys))])
+					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
 				}
 			})
 		}
 	}},
-	{"transactions applied twice, the second late", func(w *World) {
-		w.Store.Late = 9 * second
+	{"transactions applied twice, the second late", func(w *Simulation) {
+		w.Store.ReplayDelay = 9 * second
 		w.At(60*second, func() { w.Leader().Crash() })
 	}},
-	{"machines out of earshot", func(w *World) {
+	{"machines out of earshot", func(w *Simulation) {
 		for at := 30 * second; at < 140*second; at += 19 * second {
-			w.At(at, func() { deafen(w, time.Duration(8+w.Rnd.IntN(30))*second) })
+			w.At(at, func() { deafen(w, time.Duration(8+w.Rand.IntN(30))*second) })
 		}
 		// A new leader must not wait for a deaf machine for ever.
 		w.At(70*second, func() { deafen(w, 100*second) })
@@ -205,19 +205,19 @@
 			}
 		})
 	}},
-	{"answers lost again and again, then a machine cut off", func(w *World) {
+	{"answers lost again and again, then a machine cut off", func(w *Simulation) {
 		for at := 30 * second; at < 150*second; at += 7 * second {
 			w.At(at, func() {
 				keys := sortedKeys(w.Workers)
 				if len(keys) == 0 {
 					return
 				}
-				wk := w.Workers[keys[w.Rnd.IntN(len(keys))]]
-				wk.Unanswered = true
-				w.After(time.Duration(9000+w.Rnd.IntN(3000))*time.Millisecond, func() {
-					wk.Unanswered = false
-					if w.Rnd.IntN(2) == 0 {
-						for _, n := range w.Nodes {
+				wk := w.Workers[keys[w.Rand.IntN(len(keys))]]
+				wk.ReportAnswersLost = true
+				w.After(time.Duration(9000+w.Rand.IntN(3000))*time.Millisecond, func() {
+					wk.ReportAnswersLost = false
+					if w.Rand.IntN(2) == 0 {
+						for _, n := range w.Controllers {
 							w.Cut(n.Name, wk.info.Endpoint, "drop")
 							w.After(15*second, func() { w.Heal(n.Name, wk.info.Endpoint) })
 						}
@@ -226,8 +226,8 @@
 			})
 		}
 	}},
-	{"late copies of reports", func(w *World) {
-		w.Copies = 0.3
+	{"late copies of reports", func(w *Simulation) {
+		w.LateReportCopyFraction = 0.3
 		for at := 40 * second; at < 150*second; at += 31 * second {
 			w.At(at, func() {
 				if n := w.Leader(); n != nil {
@@ -236,50 +236,50 @@
 			})
 			w.At(at+11*second, func() {
 				if keys := sortedKeys(w.Cloud.machines); len(keys) > 0 {
-					w.Cloud.Take(keys[w.Rnd.IntN(len(keys))])
+					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
 				}
 			})
 		}
-		w.At(160*second, func() { w.Copies = 0 })
+		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
 	}},
-	{"requests carried out come again", func(w *World) {
-		w.Copies, w.Repeats = 0.2, 0.4
+	{"requests carried out come again", func(w *Simulation) {
+		w.LateReportCopyFraction, w.RepeatFraction = 0.2, 0.4
 		for at := 40 * second; at < 150*second; at += 17 * second {
 			w.At(at, func() {
-				if n := w.Leader(); n != nil && w.Rnd.IntN(2) == 0 {
-					n.CrashFor(time.Duration(50+w.Rnd.IntN(3000)) * time.Millisecond)
+				if n := w.Leader(); n != nil && w.Rand.IntN(2) == 0 {
+					n.CrashFor(time.Duration(50+w.Rand.IntN(3000)) * time.Millisecond)
 				}
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(2+w.Rnd.IntN(12)) * time.Second)
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(2+w.Rand.IntN(12)) * time.Second)
 				}
 			})
 		}
-		w.At(200*second, func() { w.Copies, w.Repeats = 0, 0 })
+		w.At(200*second, func() { w.LateReportCopyFraction, w.RepeatFraction = 0, 0 })
 	}},
-	{"the leader stands still, and clocks run on", func(w *World) {
-		w.Copies, w.Repeats = 0.1, 0.1
+	{"the leader stands still, and clocks run on", func(w *Simulation) {
+		w.LateReportCopyFraction, w.RepeatFraction = 0.1, 0.1
 		for i, at := range []time.Duration{35, 70, 105, 140} {
-			w.At(at*second+time.Duration(w.Rnd.IntN(2000))*time.Millisecond, func() {
+			w.At(at*second+time.Duration(w.Rand.IntN(2000))*time.Millisecond, func() {
 				l := w.Leader()
 				if l == nil {
 					return
 				}
-				l.Freeze(time.Duration(1+w.Rnd.IntN(24)) * second)
+				l.Pause(time.Duration(1+w.Rand.IntN(24)) * second)
 				if i%2 == 1 { // and so does, for a moment, whoever would succeed
-					o := w.Nodes[w.Rnd.IntN(len(w.Nodes))]
-					w.After(second, func() { o.Freeze(time.Duration(500+w.Rnd.IntN(4000)) * time.Millisecond) })
+					o := w.Controllers[w.Rand.IntN(len(w.Controllers))]
+					w.After(second, func() { o.Pause(time.Duration(500+w.Rand.IntN(4000)) * time.Millisecond) })
 				}
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(2+w.Rnd.IntN(12)) * second)
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(2+w.Rand.IntN(12)) * second)
 				}
 			})
 		}
-		w.At(200*second, func() { w.Copies, w.Repeats = 0, 0 })
+		w.At(200*second, func() { w.LateReportCopyFraction, w.RepeatFraction = 0, 0 })
 	}},
-	{"a controller keeps only its workers", func(w *World) {
+	{"a controller keeps only its workers", func(w *Simulation) {
 		for i, at := range []time.Duration{40, 75, 110} {
 			w.At(at*second, func() {
-				n := w.Nodes[i%len(w.Nodes)]
+				n := w.Controllers[i%len(w.Controllers)]
 				if l := w.Leader(); i != 1 && l != nil {
 					n = l
 				}
@@ -287,35 +287,35 @@
 			})
 		}
 	}},
-	{"workers begin anew, with late copies of their former lives", func(w *World) {
-		w.Copies = 0.3
+	{"workers begin anew, with late copies of their former lives", func(w *Simulation) {
+		w.LateReportCopyFraction = 0.3
 		for at := 30 * second; at < 140*second; at += 7 * second {
 			w.At(at, func() {
 				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rnd.IntN(len(keys))]].Restart()
+					w.Workers[keys[w.Rand.IntN(len(keys))]].Restart()
 				}
 			})
 		}
-		w.At(90*second, func() { w.Nodes[0].CrashFor(300 * time.Millisecond) })
-		w.At(160*second, func() { w.Copies = 0 })
+		w.At(90*second, func() { w.Controllers[0].CrashFor(300 * time.Millisecond) })
+		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
 	}},
-	{"controllers back within a moment, also inside elections", func(w *World) {
+	{"controllers back within a moment, also inside elections", func(w *Simulation) {
 		for at := 30 * second; at < 140*second; at += 9 * second {
 			w.At(at, func() {
-				n := w.Nodes[w.Rnd.IntN(len(w.Nodes))]
-				if l := w.Leader(); l != nil && w.Rnd.IntN(3) > 0 {
+				n := w.Controllers[w.Rand.IntN(len(w.Controllers))]
+				if l := w.Leader(); l != nil && w.Rand.IntN(3) > 0 {
 					n = l
 				}
-				n.CrashFor(time.Duration(50+w.Rnd.IntN(500)) * time.Millisecond)
-				o := w.Nodes[w.Rnd.IntN(len(w.Nodes))]
-				w.After(time.Duration(w.Rnd.IntN(900))*time.Millisecond, func() { o.CrashFor(100 * time.Millisecond) })
+				n.CrashFor(time.Duration(50+w.Rand.IntN(500)) * time.Millisecond)
+				o := w.Controllers[w.Rand.IntN(len(w.Controllers))]
+				w.After(time.Duration(w.Rand.IntN(900))*time.Millisecond, func() { o.CrashFor(100 * time.Millisecond) })
 				w.After(time.Second, func() { n.CrashFor(200 * time.Millisecond) })
 			})
 		}
 	}},
-	{"a zone cut off, then the leader crashes", func(w *World) {
+	{"a zone cut off, then the leader crashes", func(w *Simulation) {
 		w.At(50*second, func() { cutZone(w, "a", 60*second, "hold") })
-		w.At(58*second, func() { w.Nodes[1].Crash() })
+		w.At(58*second, func() { w.Controllers[1].Crash() })
 		w.At(64*second, func() {
 			if l := w.Leader(); l != nil {
 				l.Crash()
@@ -323,10 +323,10 @@
 		})
 		w.At(130*second, func() { cutZone(w, "b", 15*second, "drop") })
 	}},
-	{"controllers refuse one another", func(w *World) {
+	{"controllers refuse one another", func(w *Simulation) {
 		w.At(40*second, func() {
-			for _, a := range w.Nodes {
-				for _, b := range w.Nodes {
+			for _, a := range w.Controllers {
+				for _, b := range w.Controllers {
 					if a != b {
 						w.Cut(a.Name, b.Name, "drop")
 					}
@@ -339,8 +339,8 @@
 			}
 		})
 		w.At(85*second, func() {
-			for _, a := range w.Nodes {
-				for _, b := range w.Nodes {
+			for _, a := range w.Controllers {
+				for _, b := range w.Controllers {
 					if a != b {
 						w.Heal(a.Name, b.Name)
 					}
@@ -348,45 +348,45 @@
 			}
 		})
 	}},
-	{"everything new together", func(w *World) {
-		w.Copies = 0.2
+	{"everything new together", func(w *Simulation) {
+		w.LateReportCopyFraction = 0.2
 		for at := 30 * second; at < 150*second; at += 11 * second {
 			w.At(at, func() {
-				a, b := w.Nodes[w.Rnd.IntN(3)], w.Nodes[w.Rnd.IntN(3)]
-				switch w.Rnd.IntN(8) {
+				a, b := w.Controllers[w.Rand.IntN(3)], w.Controllers[w.Rand.IntN(3)]
+				switch w.Rand.IntN(8) {
 				case 0:
-					a.CrashFor(time.Duration(50+w.Rnd.IntN(3000)) * time.Millisecond)
+					a.CrashFor(time.Duration(50+w.Rand.IntN(3000)) * time.Millisecond)
 					w.After(700*time.Millisecond, func() { b.CrashFor(150 * time.Millisecond) })
 				case 1:
 					alone(w, a, 14*second)
 				case 2:
 					deafen(w, 25*second)
 				case 3:
-					cutZone(w, w.Opt.Zones[w.Rnd.IntN(3)], 25*second, "hold")
+					cutZone(w, w.Options.Zones[w.Rand.IntN(3)], 25*second, "hold")
 				case 4:
 					if keys := sortedKeys(w.Workers); len(keys) > 0 {
-						w.Workers[keys[w.Rnd.IntN(len(keys))]].Restart()
+						w.Workers[keys[w.Rand.IntN(len(keys))]].Restart()
 					}
 				case 5:
-					w.Store.Out = true
+					w.Store.Unavailable = true
 					w.After(12*second, w.Store.Recover)
 				case 6:
 					w.Cut(a.Name, b.Name, "hold")
 					w.After(20*second, func() { w.Heal(a.Name, b.Name) })
 				case 7:
 					if keys := sortedKeys(w.Workers); len(keys) > 0 {
-						w.Workers[keys[w.Rnd.IntN(len(keys))]].Hang(time.Duration(4+w.Rnd.IntN(14)) * second)
+						w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(4+w.Rand.IntN(14)) * second)
 					}
 				}
 			})
 		}
-		w.At(160*second, func() { w.Copies = 0 })
+		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
 	}},
-	{"all together", func(w *World) {
+	{"all together", func(w *Simulation) {
 		for at := 30 * second; at < 150*second; at += 13 * second {
 			w.At(at, func() {
-				a, b := w.Nodes[w.Rnd.IntN(3)], w.Nodes[w.Rnd.IntN(3)]
-				switch w.Rnd.IntN(6) {
+				a, b := w.Controllers[w.Rand.IntN(3)], w.Controllers[w.Rand.IntN(3)]
+				switch w.Rand.IntN(6) {
 				case 0:
 					a.Crash()
 				case 1:
@@ -396,7 +396,7 @@
 					w.Cut(a.Name, b.Name, "hold")
 					w.After(20*second, func() { w.Heal(a.Name, b.Name) })
 				case 3:
-					w.Store.Out = true
+					w.Store.Unavailable = true
 					w.After(12*second, w.Store.Recover)
 				case 4:
 					for _, h := range sortedKeys(w.Workers) {
@@ -406,7 +406,7 @@
 				case 5:
 					for i, h := range sortedKeys(w.Workers) {
 						if i%3 == 0 {
-							w.Workers[h].Hang(12 * second)
+							w.Workers[h].Pause(12 * second)
 						}
 					}
 				}
@@ -416,22 +416,22 @@
 }
 
 // deafen puts one machine out of earshot for d.
-func deafen(w *World, d time.Duration) {
+func deafen(w *Simulation, d time.Duration) {
 	keys := sortedKeys(w.Workers)
 	if len(keys) == 0 {
 		return
 	}
-	wk := w.Workers[keys[w.Rnd.IntN(len(keys))]]
-	w.tell("machine %s is deaf", wk.info.Host)
-	wk.Deaf, wk.Unanswered = true, w.Rnd.IntN(2) == 0
-	w.After(d, func() { wk.Deaf, wk.Unanswered = false, false })
+	wk := w.Workers[keys[w.Rand.IntN(len(keys))]]
+	w.tracef("machine %s is deaf", wk.info.Host)
+	wk.CannotReceive, wk.ReportAnswersLost = true, w.Rand.IntN(2) == 0
+	w.After(d, func() { wk.CannotReceive, wk.ReportAnswersLost = false, false })
 }
 
 // alone cuts a controller from the state service and the others for d, but not
 // from the workers and users.
-func alone(w *World, n *Node, d time.Duration) {
+func alone(w *Simulation, n *Controller, d time.Duration) {
 	hosts := []string{"state"}
-	for _, o := range w.Nodes {
+	for _, o := range w.Controllers {
 		if o != n {
 			hosts = append(hosts, o.Name)
 		}
@@ -448,11 +448,11 @@
 
 // cutZone cuts a zone's machines and its controller from everything outside;
 // inside, the network works.
-func cutZone(w *World, zone string, d time.Duration, mode string) {
+func cutZone(w *Simulation, zone string, d time.Duration, mode string) {
 	in := map[string]bool{}
 	out := map[string]bool{"state": true, "cloud": true, "users": true}
-	for i, n := range w.Nodes {
-		if w.Opt.Zones[i%len(w.Opt.Zones)] == zone {
+	for i, n := range w.Controllers {
+		if w.Options.Zones[i%len(w.Options.Zones)] == zone {
 			in[n.Name] = true
 		} else {
 			out[n.Name] = true
@@ -499,24 +499,24 @@
 				list = append(list, uint64(seed+1))
 			}
 			for _, seed := range append(list, brokeOnce[day.name]...) {
-				opt := Defaults(seed)
+				opt := DefaultOptions(seed)
 				opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 				w := New(opt)
 				load(w, 150*second)
 				watchLeaders(w)
 				day.faults(w)
-				w.Run(250 * second)
-				w.Check.Known(75 * second)
-				w.Run(330 * second)
-				w.Check.Served()
-				for _, b := range w.Check.Broken {
+				w.RunUntil(250 * second)
+				w.Checker.CheckKnown(75 * second)
+				w.RunUntil(330 * second)
+				w.Checker.CheckServed()
+				for _, b := range w.Checker.Violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				accepted, done := w.Check.Jobs()
+				accepted, done := w.Checker.CountBatchJobs()
 				if accepted < 10 || done < accepted {
 					t.Errorf("seed %d: %d of %d jobs done at the end of the day", seed, done, accepted)
 				}
-				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, w.Check.Starts, done, accepted)
+				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, w.Checker.TaskStarts, done, accepted)
 			}
 		})
 	}
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -11,55 +11,55 @@
 
 // Store stands in for the state service.
 type Store struct {
-	w      *World
-	rev    uint64
-	items  map[string]*stored
-	log    []core.Item
-	leases map[uint64]*lease
-	next   uint64
-	Out    bool            // an outage: every node gets 503
-	Refuse map[string]bool // nodes that alone get 503
-	Late   time.Duration   // if set, each transaction is also applied this much later again
-	// Unanswered is the part of the transactions that get no answer. They are
+	sim           *Simulation
+	revision      uint64
+	items         map[string]*storedValue
+	changeLog     []core.Item
+	leases        map[uint64]*lease
+	lastLeaseID   uint64
+	Unavailable   bool            // an outage: every node gets 503
+	UnavailableTo map[string]bool // nodes that alone get 503
+	ReplayDelay   time.Duration   // if set, each transaction is also applied this much later again
+	// UnansweredFraction is the part of the transactions that get no answer. They are
 	// carried out 2 to 12 s later, after newer ones, or at once if AtOnce is set.
-	Unanswered float64
-	AtOnce     bool
-	// MaxValue and MaxOps bound values, in bytes, and the changes of a
+	UnansweredFraction    float64
+	ApplyUnansweredAtOnce bool
+	// MaxValueBytes and MaxOps bound values, in bytes, and the changes of a
 	// transaction, MaxWrites the changes a second; 0: they are not bounded. Refused
 	// counts what was beyond.
-	MaxValue, MaxOps, MaxWrites int
-	Refused, Refused429         int
-	wrote                       []time.Duration
-	// Slow is how much longer than usual answers may take.
-	Slow  time.Duration
-	waits []*watch
-	Txns  int
+	MaxValueBytes, MaxTxnChanges, MaxWritesPerSecond int
+	RefusedTooLarge, RefusedRateLimited              int
+	recentWrites                                     []time.Duration
+	// MaxExtraLatency is how much longer than usual answers may take.
+	MaxExtraLatency time.Duration
+	watches         []*watch
+	TxnCount        int
 }
 
-type stored struct {
-	value json.RawMessage
-	stamp uint64
-	lease uint64
+type storedValue struct {
+	value       json.RawMessage
+	modRevision uint64
+	leaseID     uint64
 }
 
 type lease struct {
-	life time.Duration
-	ends time.Duration
+	duration time.Duration
+	endsAt   time.Duration
 }
 
 type watch struct {
-	call  core.StoreCall
-	reply func(core.StoreResult)
-	done  bool
-	node  string
+	call       core.StoreCall
+	reply      func(core.StoreResult)
+	done       bool
+	controller string
 }
 
-func newStore(w *World) *Store {
-	s := &Store{w: w, items: map[string]*stored{}, leases: map[uint64]*lease{}, Refuse: map[string]bool{}}
+func newStore(w *Simulation) *Store {
+	s := &Store{sim: w, items: map[string]*storedValue{}, leases: map[uint64]*lease{}, UnavailableTo: map[string]bool{}}
 	var expire func()
 	expire = func() {
-		for id := uint64(1); id <= s.next; id++ {
-			if l := s.leases[id]; l != nil && !s.Out && w.Now >= l.ends {
+		for id := uint64(1); id <= s.lastLeaseID; id++ {
+			if l := s.leases[id]; l != nil && !s.Unavailable && w.Now >= l.endsAt {
 				s.endLease(id)
 			}
 		}
@@ -71,95 +71,95 @@
 
 // Recover ends an outage: all leases get their full time again.
 func (s *Store) Recover() {
-	s.Out = false
+	s.Unavailable = false
 	for _, l := range s.leases {
-		l.ends = s.w.Now + l.life
+		l.endsAt = s.sim.Now + l.duration
 	}
-	s.wake()
+	s.answerWatches()
 }
 
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
 	for _, k := range sortedKeys(s.items) {
-		if s.items[k].lease == id {
-			s.rev++
+		if s.items[k].leaseID == id {
+			s.revision++
 			delete(s.items, k)
-			s.log = append(s.log, core.Item{Key: k, ModRevision: s.rev, Removed: true})
+			s.changeLog = append(s.changeLog, core.Item{Key: k, ModRevision: s.revision, Removed: true})
 		}
 	}
-	s.wake()
+	s.answerWatches()
 }
 
 func (s *Store) serve(node string, c core.StoreCall, reply func(core.StoreResult)) {
 	if c.Op == core.StoreWatch && c.BlockTimeout > 0 {
-		wt := &watch{call: c, reply: reply, node: node}
-		s.waits = append(s.waits, wt)
-		s.w.After(c.BlockTimeout, func() { s.answerWatch(wt, true) })
-		s.wake()
+		wt := &watch{call: c, reply: reply, controller: node}
+		s.watches = append(s.watches, wt)
+		s.sim.After(c.BlockTimeout, func() { s.answerWatch(wt, true) })
+		s.answerWatches()
 		return
 	}
-	if s.Out || s.Refuse[node] {
+	if s.Unavailable || s.UnavailableTo[node] {
 		reply(core.StoreResult{CallID: c.CallID, Status: 503})
 		return
 	}
-	if c.Op == core.StoreTxn && s.Unanswered > 0 && s.w.Rnd.Float64() < s.Unanswered {
-		if s.AtOnce {
-			s.do(c)
+	if c.Op == core.StoreTxn && s.UnansweredFraction > 0 && s.sim.Rand.Float64() < s.UnansweredFraction {
+		if s.ApplyUnansweredAtOnce {
+			s.apply(c)
 		} else {
-			s.w.After(2*time.Second+time.Duration(s.w.Rnd.Int64N(int64(10*time.Second))), func() { s.do(c) })
+			s.sim.After(2*time.Second+time.Duration(s.sim.Rand.Int64N(int64(10*time.Second))), func() { s.apply(c) })
 		}
 		return
 	}
-	if s.Slow > 0 {
-		s.w.After(time.Duration(s.w.Rnd.Int64N(int64(s.Slow))), func() { reply(s.do(c)) })
+	if s.MaxExtraLatency > 0 {
+		s.sim.After(time.Duration(s.sim.Rand.Int64N(int64(s.MaxExtraLatency))), func() { reply(s.apply(c)) })
 		return
 	}
-	reply(s.do(c))
-	if c.Op == core.StoreTxn && s.Late > 0 {
-		s.w.After(s.Late, func() { s.do(c) })
+	reply(s.apply(c))
+	if c.Op == core.StoreTxn && s.ReplayDelay > 0 {
+		s.sim.After(s.ReplayDelay, func() { s.apply(c) })
 	}
 }
 
-func (s *Store) wake() {
-	for _, wt := range s.waits {
+func (s *Store) answerWatches() {
+	for _, wt := range s.watches {
 		s.answerWatch(wt, false)
 	}
-	kept := s.waits[:0]
-	for _, wt := range s.waits {
+	kept := s.watches[:0]
+	for _, wt := range s.watches {
 		if !wt.done {
 			kept = append(kept, wt)
 		}
 	}
-	s.waits = kept
+	s.watches = kept
 }
 
 func (s *Store) answerWatch(wt *watch, timeUp bool) {
-	if wt.done || s.Out || s.Refuse[wt.node] {
+	if wt.done || s.Unavailable || s.UnavailableTo[wt.controller] {
 		return // open watches wait during an outage
 	}
-	d := s.do(core.StoreCall{CallID: wt.call.CallID, Op: core.StoreWatch, Prefix: wt.call.Prefix, AfterRevision: wt.call.AfterRevision})
+	d := s.apply(core.StoreCall{CallID: wt.call.CallID, Op: core.StoreWatch, Prefix: wt.call.Prefix, AfterRevision: wt.call.AfterRevision})
 	if len(d.Items) > 0 || timeUp {
 		wt.done = true
 		wt.reply(d)
 	}
 }
 
-// do carries a call out at once.
-func (s *Store) do(c core.StoreCall) core.StoreResult {
-	d := core.StoreResult{CallID: c.CallID, Status: 200, Revision: s.rev}
+// apply carries a call out at once.
+func (s *Store) apply(c core.StoreCall) core.StoreResult {
+	d := core.StoreResult{CallID: c.CallID, Status: 200, Revision: s.revision}
 	switch c.Op {
 	case core.StoreList:
 		s.list(c, &d)
 	case core.StoreWatch:
-		for _, it := range s.log {
+		for _, it := range s.changeLog {
 			if it.ModRevision > c.AfterRevision && strings.HasPrefix(it.Key, c.Prefix) {
 				d.Items = append(d.Items, it)
 			}
 		}
 	case core.StoreLease:
-		s.next++
-		s.leases[s.next] = &lease{c.TTL, s.w.Now + c.TTL}
-		d.Lease = s.next
+		s.lastLeaseID++
+		s.leases[s.lastLeaseID] = &lease{c.TTL, s.sim.Now + c.TTL}
+		d.Lease = s.lastLeaseID
 	case core.StoreRenew, core.StoreRevoke:
 		s.changeLease(c, &d)
 	case core.StoreTxn:
@@ -180,7 +180,7 @@
 			return
 		}
 		it := s.items[keys[i]]
-		d.Items = append(d.Items, core.Item{Key: keys[i], Value: it.value, ModRevision: it.stamp})
+		d.Items = append(d.Items, core.Item{Key: keys[i], Value: it.value, ModRevision: it.modRevision})
 	}
 }
 
@@ -191,7 +191,7 @@
 	case l == nil:
 		d.Status = 404
 	case c.Op == core.StoreRenew:
-		l.ends = s.w.Now + l.life
+		l.endsAt = s.sim.Now + l.duration
 	default:
 		s.endLease(c.Lease)
 	}
@@ -199,8 +199,8 @@
 
 // transact carries a transaction out if its guards hold.
 func (s *Store) transact(c core.StoreCall, d *core.StoreResult) {
-	s.Txns++
-	if d.Status = s.beyond(c); d.Status != 200 {
+	s.TxnCount++
+	if d.Status = s.checkLimits(c); d.Status != 200 {
 		return
 	}
 	for _, ch := range c.Changes {
@@ -210,7 +210,7 @@
 		}
 	}
 	for _, g := range c.Preconditions {
-		if s.stampOf(g.Key) != g.ModRevision {
+		if s.modRevisionOf(g.Key) != g.ModRevision {
 			d.FailedKeys = append(d.FailedKeys, g.Key)
 		}
 	}
@@ -218,58 +218,58 @@
 		d.Status = 409
 		return
 	}
-	s.rev++
+	s.revision++
 	for _, ch := range c.Changes {
-		s.change(ch)
+		s.applyChange(ch)
 	}
-	d.Revision = s.rev
-	s.w.After(0, s.wake)
+	d.Revision = s.revision
+	s.sim.After(0, s.answerWatches)
 }
 
-// stampOf is the version of a key; 0 where it does not exist.
-func (s *Store) stampOf(key string) uint64 {
+// modRevisionOf is the version of a key; 0 where it does not exist.
+func (s *Store) modRevisionOf(key string) uint64 {
 	if it := s.items[key]; it != nil {
-		return it.stamp
+		return it.modRevision
 	}
 	return 0
 }
 
-// change sets or removes a key at the present revision.
-func (s *Store) change(ch core.Change) {
+// applyChange sets or removes a key at the present revision.
+func (s *Store) applyChange(ch core.Change) {
 	if !ch.Remove {
-		s.items[ch.Key] = &stored{ch.Value, s.rev, ch.Lease}
-		s.log = append(s.log, core.Item{Key: ch.Key, Value: ch.Value, ModRevision: s.rev})
+		s.items[ch.Key] = &storedValue{ch.Value, s.revision, ch.Lease}
+		s.changeLog = append(s.changeLog, core.Item{Key: ch.Key, Value: ch.Value, ModRevision: s.revision})
 		return
 	}
 	if s.items[ch.Key] != nil {
 		delete(s.items, ch.Key)
-		s.log = append(s.log, core.Item{Key: ch.Key, ModRevision: s.rev, Removed: true})
+		s.changeLog = append(s.changeLog, core.Item{Key: ch.Key, ModRevision: s.revision, Removed: true})
 	}
 }
 
-// beyond is what a transaction gets that is beyond the limits: 400 or 429.
-func (s *Store) beyond(c core.StoreCall) int {
-	large := s.MaxOps > 0 && (len(c.Changes) > s.MaxOps || len(c.Preconditions) > 4*s.MaxOps)
+// checkLimits is what a transaction gets that is beyond the limits: 400 or 429.
+func (s *Store) checkLimits(c core.StoreCall) int {
+	large := s.MaxTxnChanges > 0 && (len(c.Changes) > s.MaxTxnChanges || len(c.Preconditions) > 4*s.MaxTxnChanges)
 	for _, ch := range c.Changes {
-		large = large || s.MaxValue > 0 && len(ch.Value) > s.MaxValue
+		large = large || s.MaxValueBytes > 0 && len(ch.Value) > s.MaxValueBytes
 	}
 	if large {
-		s.Refused++
+		s.RefusedTooLarge++
 		return 400
 	}
-	if s.MaxWrites == 0 {
+	if s.MaxWritesPerSecond == 0 {
 		return 200
 	}
-	for len(s.wrote) > 0 && s.wrote[0] < s.w.Now-time.Second {
-		s.wrote = s.wrote[1:]
+	for len(s.recentWrites) > 0 && s.recentWrites[0] < s.sim.Now-time.Second {
+		s.recentWrites = s.recentWrites[1:]
 	}
 	// Bursts of one second's worth are allowed on top.
-	if len(s.wrote)+len(c.Changes) > 2*s.MaxWrites {
-		s.Refused429++
+	if len(s.recentWrites)+len(c.Changes) > 2*s.MaxWritesPerSecond {
+		s.RefusedRateLimited++
 		return 429
 	}
 	for range c.Changes {
-		s.wrote = append(s.wrote, s.w.Now)
+		s.recentWrites = append(s.recentWrites, s.sim.Now)
 	}
 	return 200
 }
