--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,11 +1,12 @@
-// Package model holds the nouns that the parts of mulleinfall share: jobs,
-// machine types, worker reports and orders. Wire names stand only in the
-// struct tags; code uses the field's terms.
+// Package model holds the types that all parts of mulleinfall share: jobs,
+// machine types, worker reports and orders. Struct tags give the names on the
+// wire; field names are the terms that the code uses.
 package model
 
 import "strconv"
 
-// Job is a user's description of a job, as submitted.
+// Job is a user's description of a job, as submitted. CPUs, GPUs and memory are
+// what each task needs. Fields whose names end in S are in seconds.
 type Job struct {
 	ID               string   `json:"id"`
 	Class            string   `json:"lane"`
@@ -18,22 +19,22 @@
 	MemoryGB         float64  `json:"memoryGb"`
 	Image            string   `json:"build"`
 	ImageGB          float64  `json:"pullGb"`
-	Types            []string `json:"flavors,omitempty"`
-	Zone             string   `json:"site,omitempty"`
-	OneZone          bool     `json:"samePlace,omitempty"`
-	Spread           bool     `json:"scatter,omitempty"`
-	Spot             bool     `json:"loaners,omitempty"`
-	EstimateS        float64  `json:"guessS"`
-	CheckpointEveryS float64  `json:"snapshotEveryS"`
-	CheckpointCostS  float64  `json:"snapshotCostS"`
-	DueS             *float64 `json:"dueS,omitempty"`
+	Types            []string `json:"flavors,omitempty"`   // allowed machine types; empty: all
+	Zone             string   `json:"site,omitempty"`      // the only allowed zone; empty: any
+	OneZone          bool     `json:"samePlace,omitempty"` // all tasks must be in the same zone
+	Spread           bool     `json:"scatter,omitempty"`   // see MaxTasksPerZone
+	Spot             bool     `json:"loaners,omitempty"`   // spot machines are allowed
+	EstimateS        float64  `json:"guessS"`              // expected run time of a task
+	CheckpointEveryS float64  `json:"snapshotEveryS"`      // 0: tasks save no checkpoints
+	CheckpointCostS  float64  `json:"snapshotCostS"`       // how long it takes to save a checkpoint
+	DueS             *float64 `json:"dueS,omitempty"`      // when the job is due, counted from submission
 }
 
 // Values of Job.Kind and Job.Priority.
 const (
 	KindBatch   = "batch"
 	KindService = "service"
-	KindGang    = "gang" // all tasks run at the same time, or none
+	KindGang    = "gang" // its tasks run all at the same time or not at all
 
 	PriorityProd   = "prod"
 	PriorityHigh   = "high"
@@ -41,7 +42,7 @@
 	PriorityLow    = "low"
 )
 
-// PriorityRank orders priorities: the smaller, the more urgent.
+// PriorityRank maps a priority to its rank: 0 is the most urgent.
 func PriorityRank(priority string) int {
 	switch priority {
 	case PriorityProd:
@@ -62,7 +63,7 @@
 	PhaseAborted = "aborted"
 )
 
-// MachineType is one kind of machine that the cloud rents.
+// MachineType describes a type of machine that the cloud rents out.
 type MachineType struct {
 	Name        string   `json:"label"`
 	CPUs        float64  `json:"cpus"`
@@ -76,12 +77,12 @@
 	Zones       []string `json:"sites"`
 }
 
-// FitsTask says whether one task of j fits an empty machine of this type.
+// FitsTask reports whether one task of j fits an empty machine of this type.
 func (t *MachineType) FitsTask(j *Job) bool {
 	return j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemoryGB <= t.MemoryGB && j.AllowsType(t.Name)
 }
 
-// AllowsType says whether the job's list of types admits name.
+// AllowsType reports whether the job may run on machines of the named type.
 func (j *Job) AllowsType(name string) bool {
 	if len(j.Types) == 0 {
 		return true
@@ -94,7 +95,7 @@
 	return false
 }
 
-// MaxTasksPerZone is how many tasks of the job may be in one zone at a time.
+// MaxTasksPerZone returns how many tasks of the job may be in one zone at a time.
 func (j *Job) MaxTasksPerZone() int {
 	if j.Spread {
 		return (j.Tasks + 1) / 2
@@ -102,10 +103,10 @@
 	return j.Tasks
 }
 
-// TaskName is the wire name of a task.
+// TaskName returns the name that a task has in messages.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTaskName takes a task name apart.
+// ParseTaskName splits the name of a task into its job's id and its index.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	for i := len(name) - 1; i > 0; i-- {
 		if name[i] == '/' {
@@ -119,7 +120,7 @@
 // Task states and exit causes in worker reports.
 const (
 	TaskFetching  = "pulling"
-	TaskGathering = "gathering" // of a gang: waits for the other tasks of its attempt
+	TaskGathering = "gathering" // a gang's task waits for the other tasks of its attempt
 	TaskRunning   = "running"
 	TaskSaving    = "saving"
 	TaskExited    = "exited"
@@ -130,11 +131,11 @@
 	CauseNoCapacity     = "full"
 	CauseInUse          = "in_use"
 	CauseNoSuchTask     = "no_such"
-	CausePeerLost       = "peers" // of a gang: another of its tasks is gone
-	CauseGangIncomplete = "alone" // of a gang: it was not complete in time
+	CausePeerLost       = "peers" // another task of the same gang is gone
+	CauseGangIncomplete = "alone" // the gang's other tasks did not all arrive in time
 )
 
-// IsKnownCause says whether cause is one of the reasons for which a task exits.
+// IsKnownCause reports whether cause is one of the causes above.
 func IsKnownCause(cause string) bool {
 	switch cause {
 	case CauseDone, CauseStopped, CauseError, CauseNoCapacity, CauseInUse, CauseNoSuchTask, CausePeerLost, CauseGangIncomplete:
@@ -143,7 +144,7 @@
 	return false
 }
 
-// TaskReport is one task in a worker's report.
+// TaskReport is the entry of one task in a worker's report.
 type TaskReport struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -152,7 +153,7 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// Report is what a worker says of itself.
+// Report is a worker's report on itself and its tasks.
 type Report struct {
 	Host       string       `json:"host"`
 	Endpoint   string       `json:"endpoint"`
@@ -162,18 +163,18 @@
 	Session    uint64       `json:"tenure"`
 	Seq        uint64       `json:"tick"`
 	Epoch      uint64       `json:"epoch"`
-	ReclaimInS *float64     `json:"recallS"`
+	ReclaimInS *float64     `json:"recallS"` // time until the cloud reclaims the machine; nil: no notice
 	Tasks      []TaskReport `json:"pieces"`
 }
 
-// Order verbs.
+// Verbs of an order.
 const (
 	OrderStart  = "start"
 	OrderKill   = "kill"
 	OrderForget = "forget"
 )
 
-// Order is one command to a worker.
+// Order tells a worker what to do with one attempt of a task.
 type Order struct {
 	Verb    string   `json:"verb"`
 	Task    string   `json:"piece"`
@@ -181,7 +182,7 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// ListedMachine is a machine as the cloud lists it.
+// ListedMachine is a machine as listed by the cloud.
 type ListedMachine struct {
 	Host     string  `json:"id"`
 	Endpoint string  `json:"endpoint"`
