--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -1,7 +1,7 @@
 package sched
 
-// Cache models which images a machine holds: the most recently used ones up
-// to its size, as the workers keep them.
+// Cache models which images a machine holds. Like the workers, it keeps the most
+// recently used images up to its size.
 type Cache struct {
 	SizeGB float64
 	images []image // least recently used first
@@ -12,7 +12,7 @@
 	gb   float64
 }
 
-// Has says whether the image should be on the machine.
+// Has reports whether the machine should hold the image.
 func (c *Cache) Has(name string) bool { return c.indexOf(name) >= 0 }
 
 func (c *Cache) indexOf(name string) int {
@@ -24,7 +24,7 @@
 	return -1
 }
 
-// Use notes that a task used the image, fetched if need be.
+// Use records that a task uses the image now, and adds the image if it is missing.
 func (c *Cache) Use(name string, gb float64) {
 	if i := c.indexOf(name); i >= 0 {
 		c.images = append(c.images[:i], c.images[i+1:]...)
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -5,101 +5,104 @@
 	"time"
 )
 
-// Dispatcher is the state of one pass over the queue. A round that ran out of
-// budget goes on at the job where it stopped.
+// Dispatcher makes rounds of placement decisions. A round that exhausts its time
+// budget is continued by the next call at the job where it stopped.
 type Dispatcher struct {
 	cfg         Config
 	isResuming  bool
 	resumeJobID string
-	// reserved are the machines kept free for a gang since the last round.
+	// reserved are the machines kept free for a gang in this round, and
+	// previouslyReserved those of the round before.
 	reserved, previouslyReserved map[*Machine]bool
 }
 
-// NewDispatcher starts a dispatcher.
+// NewDispatcher returns a dispatcher that begins with a new round.
 func NewDispatcher(cfg Config) *Dispatcher {
 	return &Dispatcher{cfg: cfg, reserved: map[*Machine]bool{}}
 }
 
-// RunRound makes one round of decisions. Jobs must be in queue order (rank, then
-// arrival). It returns true if the round came to its end.
-func (r *Dispatcher) RunRound(now time.Duration, jobs []*Job, machines []*Machine, env Env) bool {
+// RunRound places waiting tasks, or continues a round that exhausted its budget.
+// Jobs must be in queue order (rank, then arrival). It returns true if the round
+// is complete.
+func (d *Dispatcher) RunRound(now time.Duration, jobs []*Job, machines []*Machine, env Env) bool {
 	assignPriceClasses(machines)
 	for _, m := range machines {
-		m.reserved = r.isResuming && r.reserved[m]
+		m.reserved = d.isResuming && d.reserved[m]
 		switch {
-		case r.reserved[m]:
+		case d.reserved[m]:
 			for _, q := range m.LocalQueue {
-				q.Job.Waiting++ // elsewhere it may be served sooner
+				q.Job.Waiting++ // back to the global queue: another machine may be sooner
 			}
 			m.LocalQueue = nil
 		case len(m.LocalQueue) > 0:
-			r.serveLocalQueue(now, m, env)
+			d.serveLocalQueue(now, m, env)
 		}
 	}
-	if !r.isResuming {
-		// The gang's turn comes, if it still waits; it stays with its machines.
-		r.previouslyReserved, r.reserved = r.reserved, map[*Machine]bool{}
+	if !d.isResuming {
+		// A gang that still waits reserves again in this round, and prefers the
+		// machines that it had.
+		d.previouslyReserved, d.reserved = d.reserved, map[*Machine]bool{}
 	}
 	start := 0
-	if r.isResuming {
+	if d.isResuming {
 		for i, j := range jobs {
-			if j.ID == r.resumeJobID {
+			if j.ID == d.resumeJobID {
 				start = i
 				break
 			}
 		}
 	}
-	r.isResuming = false
+	d.isResuming = false
 	for _, j := range jobs {
 		j.hasReservation = false
 	}
-	// Most machines of a busy fleet have no room for anything that waits: they
-	// are looked at once a round, not once a task.
-	roomy := machinesWithCapacity(jobs[start:], machines)
+	// Most machines of a busy fleet have no capacity for any waiting task. They are
+	// filtered out once a round, not once a task.
+	withCapacity := machinesWithCapacity(jobs[start:], machines)
 	for i := start; i < len(jobs); i++ {
 		j := jobs[i]
 		if j.Waiting == 0 {
 			continue
 		}
 		if env.BudgetExhausted() {
-			r.isResuming, r.resumeJobID = true, j.ID
+			d.isResuming, d.resumeJobID = true, j.ID
 			return false
 		}
 		if j.IsGang {
-			r.placeGang(now, j, machines, env)
+			d.placeGang(now, j, machines, env)
 			continue
 		}
-		if !r.placeJob(now, jobs[:i], j, machines, roomy, env) {
-			r.isResuming, r.resumeJobID = true, j.ID
+		if !d.placeJob(now, jobs[:i], j, machines, withCapacity, env) {
+			d.isResuming, d.resumeJobID = true, j.ID
 			return false
 		}
 	}
 	return true
 }
 
-// machinesWithCapacity lists the machines that have room for the least that any job asks
-// for in each respect.
+// machinesWithCapacity lists the machines on which a task would fit that needs the
+// least CPUs, GPUs and memory of all waiting jobs.
 func machinesWithCapacity(jobs []*Job, machines []*Machine) []*Machine {
-	least := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
+	leastNeed := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for _, j := range jobs {
 		if j.Waiting > 0 {
-			least.CPUs = min(least.CPUs, j.Need.CPUs)
-			least.GPUs = min(least.GPUs, j.Need.GPUs)
-			least.MemoryGB = min(least.MemoryGB, j.Need.MemoryGB)
+			leastNeed.CPUs = min(leastNeed.CPUs, j.Need.CPUs)
+			leastNeed.GPUs = min(leastNeed.GPUs, j.Need.GPUs)
+			leastNeed.MemoryGB = min(leastNeed.MemoryGB, j.Need.MemoryGB)
 		}
 	}
-	var roomy []*Machine
+	var withCapacity []*Machine
 	for _, m := range machines {
-		if m.Free.Fits(least) {
-			roomy = append(roomy, m)
+		if m.Free.Fits(leastNeed) {
+			withCapacity = append(withCapacity, m)
 		}
 	}
-	return roomy
+	return withCapacity
 }
 
-// serveLocalQueue gives m's room to its local queue first, and returns what has
-// waited longer than estimated to the global queue.
-func (r *Dispatcher) serveLocalQueue(now time.Duration, m *Machine, env Env) {
+// serveLocalQueue places tasks of m's local queue on m as long as they fit. Tasks
+// that have waited longer than estimated return to the global queue.
+func (d *Dispatcher) serveLocalQueue(now time.Duration, m *Machine, env Env) {
 	for len(m.LocalQueue) > 0 {
 		q := m.LocalQueue[0]
 		if m.Free.Fits(q.Job.Need) && env.WithinLimit(q.Job) && env.Allowed(q.Job, m) {
@@ -123,17 +126,17 @@
 	m.LocalQueue = kept
 }
 
-// placeJob sends tasks of j on their way, as many as the rule lets go now. ahead
-// are the jobs before it. False: the round's budget is used up. The tasks are
-// alike, so the machines are ranked for all of them at once, and a placement
-// changes the rank of one machine only.
-func (r *Dispatcher) placeJob(now time.Duration, ahead []*Job, j *Job, machines, roomy []*Machine, env Env) bool {
+// placeJob places as many waiting tasks of j as the dispatch rule allows now. ahead
+// are the jobs before j in the queue. It returns false if the round's budget is used
+// up. All tasks of a job are alike, so the machines are ranked once for all of them,
+// and each placement changes the rank of one machine only.
+func (d *Dispatcher) placeJob(now time.Duration, ahead []*Job, j *Job, machines, withCapacity []*Machine, env Env) bool {
 	if !env.WithinLimit(j) {
-		return true // passed without counting a skip
+		return true // held back by the limit, which doesn't count as a skip
 	}
-	c := newMachineRanking(now, j, roomy, env)
+	ranking := newMachineRanking(now, j, withCapacity, env)
 	var passed []*Job
-	if len(c.list) > 0 {
+	if len(ranking.list) > 0 {
 		passed = earlierJobs(ahead, j, env)
 	}
 	for first := true; j.Waiting > 0; first = false {
@@ -144,16 +147,16 @@
 			return true
 		}
 		for _, a := range passed {
-			if a.Skips >= r.cfg.SkipLimit && !a.hasReservation {
-				r.reserveMachine(now, a, machines, env)
+			if a.Skips >= d.cfg.SkipLimit && !a.hasReservation {
+				d.reserveMachine(now, a, machines, env)
 			}
 		}
-		best, ok := c.best(env)
+		best, ok := ranking.best(env)
 		if !ok {
-			r.handleNoMachine(now, j, machines, roomy, env)
+			d.handleNoMachine(now, j, machines, withCapacity, env)
 			return true
 		}
-		path, waits := r.choosePath(c, best, len(passed) > 0, machines, env)
+		path, waits := d.choosePath(ranking, best, len(passed) > 0, machines, env)
 		if waits {
 			continue
 		}
@@ -163,50 +166,52 @@
 		for _, a := range passed {
 			a.Skips++
 		}
-		c.placedOnBest()
+		ranking.placedOnBest()
 	}
 	return true
 }
 
-// handleNoMachine takes that no machine has room for j. Without a roomy machine there is
-// nothing to compare with: the dispatcher runs when a task waits and a machine has
-// room for it. A task that took to a holder's queue then was stuck behind one
-// estimate while machines became free elsewhere.
-func (r *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, roomy []*Machine, env Env) {
-	if j.Skips >= r.cfg.SkipLimit && !j.hasReservation && len(roomy) > 0 {
-		r.reserveMachine(now, j, machines, env)
+// handleNoMachine is called if no machine has capacity for j. If j is at its skip
+// limit and some machine has capacity for other tasks, a machine is kept free for j.
+// The task doesn't join the local queue of a machine that holds its image: there is
+// no fetch elsewhere to compare with, and tasks that joined one were stuck behind
+// one estimate while other machines became free.
+func (d *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, withCapacity []*Machine, env Env) {
+	if j.Skips >= d.cfg.SkipLimit && !j.hasReservation && len(withCapacity) > 0 {
+		d.reserveMachine(now, j, machines, env)
 	}
 }
 
-// choosePath is the way by which a task of the job goes to the best machine; waits says
-// that it has joined the local queue of a holder instead.
-func (r *Dispatcher) choosePath(c *machineRanking, best rankedMachine, passes bool, machines []*Machine, env Env) (path Path, waits bool) {
+// choosePath returns the path by which a task of the ranked job goes to the best
+// machine. If waits is true, the task has joined the local queue of a machine that
+// holds its image instead. overtakes says that earlier jobs still wait.
+func (d *Dispatcher) choosePath(ranking *machineRanking, best rankedMachine, overtakes bool, machines []*Machine, env Env) (path Path, waits bool) {
 	switch {
-	case best.hasImage && passes:
+	case best.hasImage && overtakes:
 		return PathSkipHit, false
 	case best.hasImage:
 		return PathHit, false
-	case c.job.Skips >= r.cfg.SkipLimit:
+	case ranking.job.Skips >= d.cfg.SkipLimit:
 		return PathSkipLimit, false
 	}
-	if busy, cost := c.soonestHolder(machines, env); cost < best.delay {
-		busy.LocalQueue = append(busy.LocalQueue, QueuedTask{Job: c.job, WaitDeadline: c.now + max(cost, time.Second)})
-		c.job.Waiting--
-		c.updateHolder(busy)
+	if holder, wait := ranking.soonestHolder(machines, env); wait < best.delay {
+		holder.LocalQueue = append(holder.LocalQueue, QueuedTask{Job: ranking.job, WaitDeadline: ranking.now + max(wait, time.Second)})
+		ranking.job.Waiting--
+		ranking.updateHolder(holder)
 		return "", true
 	}
-	// Only a hit may overtake on the ordinary path. The exception: the
-	// tasks ahead found no machine in this very round, so reserving this
-	// one back would leave the machine idle and help nobody.
-	if passes {
+	// Normally only a hit may overtake earlier tasks. Here the earlier tasks found no
+	// machine in this round, so holding this task back would leave the machine idle
+	// without helping them.
+	if overtakes {
 		return PathPassMiss, false
 	}
 	return PathFetch, false
 }
 
-// reserveMachine keeps the machine that should have room soonest free for a task at its
-// skip limit, which would otherwise starve behind smaller ones.
-func (r *Dispatcher) reserveMachine(now time.Duration, j *Job, machines []*Machine, env Env) {
+// reserveMachine keeps one machine free for a job at its skip limit: the one that
+// should have capacity soonest. Otherwise smaller tasks would starve the job.
+func (d *Dispatcher) reserveMachine(now time.Duration, j *Job, machines []*Machine, env Env) {
 	j.hasReservation = true
 	var best *Machine
 	soonest := Never
@@ -223,14 +228,14 @@
 	}
 }
 
-// earlierJobs lists the jobs of the same rank ahead of j that still wait and are
-// not held back by their team's limit.
+// earlierJobs lists the jobs of j's rank among those ahead of it that still wait and
+// are not held back by their team's limit.
 func earlierJobs(ahead []*Job, j *Job, env Env) []*Job {
-	var out []*Job
+	var waiting []*Job
 	for _, a := range ahead {
 		if !a.IsGang && a.Rank == j.Rank && a.Waiting > 0 && env.WithinLimit(a) {
-			out = append(out, a)
+			waiting = append(waiting, a)
 		}
 	}
-	return out
+	return waiting
 }
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -6,76 +6,77 @@
 	"time"
 )
 
-// Gangs: all tasks of a job go in one round or none does.
+// Gangs: all tasks of a job are placed in the same round, or none of them.
 
-// placeGang sends all tasks of j on their way, or none of them. It knows neither
-// local queues nor skips.
-func (r *Dispatcher) placeGang(now time.Duration, j *Job, machines []*Machine, env Env) {
+// placeGang places all waiting tasks of j, or none of them. Gangs don't use local
+// queues, and skips don't count for them.
+func (d *Dispatcher) placeGang(now time.Duration, j *Job, machines []*Machine, env Env) {
 	if !env.WithinLimit(j) {
 		return
 	}
-	places, ok := gangMachines(now, j, machines, env)
+	targets, ok := gangMachines(now, j, machines, env)
 	if !ok {
-		r.reserveForGang(now, j, machines, env)
+		d.reserveForGang(now, j, machines, env)
 		return
 	}
-	for n := j.Waiting; j.Waiting > 0; {
-		// Room is all that gangPlaces looked at: what one task of the job means
-		// for the next, by zone or limit, is asked again for each.
+	for waitingBefore := j.Waiting; j.Waiting > 0; {
+		// gangMachines only checks capacity. How the tasks placed so far affect the
+		// next one, by zone or limit, is checked for each task here.
 		var m *Machine
-		for len(places) > 0 && m == nil {
-			if p := places[0]; p.Free.Fits(j.Need) && env.Allowed(j, p) {
+		for len(targets) > 0 && m == nil {
+			if p := targets[0]; p.Free.Fits(j.Need) && env.Allowed(j, p) {
 				m = p
 			} else {
-				places = places[1:]
+				targets = targets[1:]
 			}
 		}
 		if m == nil || !env.WithinLimit(j) || !env.Place(j, m, PathGang) {
 			env.Undo(j)
-			j.Waiting = n
+			j.Waiting = waitingBefore
 			return
 		}
 	}
 }
 
-// gangMachines lists the machines that have room for all waiting tasks of j, those
-// first that have its image soonest, since the gang starts with its last image;
-// all of one zone where it must be.
+// gangMachines lists machines that together have capacity for all waiting tasks of
+// j. Those that have the image soonest come first, since the gang starts once the
+// last of its tasks has its image. If the gang needs a single zone, all are in the
+// zone where that is soonest.
 func gangMachines(now time.Duration, j *Job, machines []*Machine, env Env) ([]*Machine, bool) {
 	var best []*Machine
-	found, soonest := false, Never
+	found, shortestFetch := false, Never
 	for _, zone := range candidateZones(j, machines) {
-		var list []*Machine
-		cost := map[*Machine]time.Duration{}
+		var eligible []*Machine
+		fetchTimes := map[*Machine]time.Duration{}
 		for _, m := range machines {
 			if !m.reserved && (zone == "" || m.Zone == zone) && m.Free.Fits(j.Need) && env.Allowed(j, m) {
-				list = append(list, m)
-				cost[m] = m.fetchTime(now, j)
+				eligible = append(eligible, m)
+				fetchTimes[m] = m.fetchTime(now, j)
 			}
 		}
-		sort.SliceStable(list, func(a, b int) bool {
-			if cost[list[a]] != cost[list[b]] {
-				return cost[list[a]] < cost[list[b]]
+		sort.SliceStable(eligible, func(a, b int) bool {
+			if fetchTimes[eligible[a]] != fetchTimes[eligible[b]] {
+				return fetchTimes[eligible[a]] < fetchTimes[eligible[b]]
 			}
-			return isBetter(list[a], list[b], j)
+			return isBetter(eligible[a], eligible[b], j)
 		})
-		room, last := 0, time.Duration(0)
-		for _, m := range list {
-			if room >= j.Waiting {
+		fitting, longestFetch := 0, time.Duration(0)
+		for _, m := range eligible {
+			if fitting >= j.Waiting {
 				break
 			}
-			room += TasksThatFit(m.Free, j.Need)
-			last = cost[m]
+			fitting += TasksThatFit(m.Free, j.Need)
+			longestFetch = fetchTimes[m]
 		}
-		if room >= j.Waiting && (!found || last < soonest) {
-			best, found, soonest = list, true, last
+		if fitting >= j.Waiting && (!found || longestFetch < shortestFetch) {
+			best, found, shortestFetch = eligible, true, longestFetch
 		}
 	}
 	return best, found
 }
 
-// candidateZones lists the zones that are looked at one by one, in order; "" for all
-// of them together.
+// candidateZones lists the zones that are tried one after another, in order of their
+// names. The zone "" stands for all zones together.
 func candidateZones(j *Job, machines []*Machine) []string {
 	if !j.OneZone {
 		return []string{""}
@@ -90,64 +91,64 @@
 	return zones
 }
 
-// TasksThatFit is how many tasks of one need room holds.
-func TasksThatFit(room, need Resources) int {
+// TasksThatFit returns how many tasks that take need each fit in free, up to 1000.
+func TasksThatFit(free, need Resources) int {
 	n := 0
-	for room.Fits(need) && n < 1000 {
-		room = room.Sub(need)
+	for free.Fits(need) && n < 1000 {
+		free = free.Sub(need)
 		n++
 	}
 	return n
 }
 
-// reserveForGang keeps the machines free that should have room for the whole gang
-// soonest: refilled bit by bit by the tasks of arrays, and by their own local
-// queues, they never all had room at once. Only what one gang needs, and for one
-// gang at a time.
-func (r *Dispatcher) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
-	if !j.MayReserve || len(r.reserved) > 0 {
+// reserveForGang keeps those machines free that should have capacity for the whole
+// gang soonest. Otherwise array tasks and local queues refill the machines one task
+// at a time, and they never have enough capacity at once. Only as much as one gang
+// needs is kept free, and for one gang at a time.
+func (d *Dispatcher) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
+	if !j.MayReserve || len(d.reserved) > 0 {
 		return
 	}
 	var best []*Machine
-	soonest := Never
+	shortestWait := Never
 	for _, zone := range candidateZones(j, machines) {
-		var list []*Machine
-		holds, wait := map[*Machine]int{}, map[*Machine]time.Duration{}
+		var eligible []*Machine
+		tasksOn, waitFor := map[*Machine]int{}, map[*Machine]time.Duration{}
 		for _, m := range machines {
 			if m.reserved || zone != "" && m.Zone != zone || !env.Allowed(j, m) {
 				continue
 			}
 			empty := m.Capacity
-			empty.CPUs -= m.ServiceCPUs // what stays on it makes no room
+			empty.CPUs -= m.ServiceCPUs // services don't end, so their CPUs don't come free
 			n := min(TasksThatFit(empty, j.Need), j.Waiting)
 			if n == 0 {
 				continue
 			}
 			if w := m.estimateTimeToFree(now, j.Need.Times(n)); w < Never {
-				list = append(list, m)
-				holds[m], wait[m] = n, w
+				eligible = append(eligible, m)
+				tasksOn[m], waitFor[m] = n, w
 			}
 		}
-		sort.SliceStable(list, func(a, b int) bool {
-			if x, y := r.previouslyReserved[list[a]], r.previouslyReserved[list[b]]; x != y {
+		sort.SliceStable(eligible, func(a, b int) bool {
+			if x, y := d.previouslyReserved[eligible[a]], d.previouslyReserved[eligible[b]]; x != y {
 				return x
 			}
-			if wait[list[a]] != wait[list[b]] {
-				return wait[list[a]] < wait[list[b]]
+			if waitFor[eligible[a]] != waitFor[eligible[b]] {
+				return waitFor[eligible[a]] < waitFor[eligible[b]]
 			}
-			return isBetter(list[a], list[b], j)
+			return isBetter(eligible[a], eligible[b], j)
 		})
-		room := 0
-		for i, m := range list {
-			if room += holds[m]; room >= j.Waiting {
-				last := time.Duration(0)
-				for _, m := range list[:i+1] {
-					if !r.previouslyReserved[m] {
-						last = max(last, wait[m])
+		fitting := 0
+		for i, m := range eligible {
+			if fitting += tasksOn[m]; fitting >= j.Waiting {
+				longestWait := time.Duration(0)
+				for _, m := range eligible[:i+1] {
+					if !d.previouslyReserved[m] {
+						longestWait = max(longestWait, waitFor[m])
 					}
 				}
-				if last < soonest {
-					best, soonest = list[:i+1], last
+				if longestWait < shortestWait {
+					best, shortestWait = eligible[:i+1], longestWait
 				}
 				break
 			}
@@ -155,26 +156,27 @@
 	}
 	for _, m := range best {
 		m.reserved = true
-		r.reserved[m] = true
+		d.reserved[m] = true
 	}
 }
 
-// estimateTimeToFree estimates how long until m has so much room, if nothing more comes to it.
+// estimateTimeToFree estimates how long it takes until need fits m's free capacity
+// if no more tasks are placed on m.
 func (m *Machine) estimateTimeToFree(now time.Duration, need Resources) time.Duration {
-	free, last := m.Free, now
+	free, latestEnd := m.Free, now
 	for _, r := range m.Running {
 		if free.Fits(need) || r.EndAt == Never {
 			break
 		}
 		end := r.EndAt
 		if end < now {
-			end += 2 * (now - end) // overdue: as much again may be to come
+			end += 2 * (now - end) // overdue: assume that it takes as long again as it is late
 		}
-		last = max(last, end)
+		latestEnd = max(latestEnd, end)
 		free = free.Add(r.Need)
 	}
 	if !free.Fits(need) {
 		return Never
 	}
-	return last - now
+	return latestEnd - now
 }
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// RunningTask is a task on a machine.
+// RunningTask is a task that occupies a machine.
 type RunningTask struct {
 	Need  Resources
 	EndAt time.Duration // estimated; Never for services
 }
 
-// Never is the end of what has no end to wait for.
+// Never is the end time of services, and the wait for capacity that won't come free.
 const Never = time.Duration(math.MaxInt64)
 
-// Machine is a machine that may take tasks.
+// Machine is a machine on which tasks may be placed.
 type Machine struct {
 	ID           string
 	Zone         string
 	Free         Resources
 	Capacity     Resources
-	FetchGBPerS  float64       // open fetch rate, GB a second
-	Running      []RunningTask // soonest end first
+	FetchGBPerS  float64       // rate at which the machine fetches images
+	Running      []RunningTask // sorted by EndAt
 	Images       *Cache
 	Fetching     []Fetch // fetches under way
 	LocalQueue   []QueuedTask
-	PricePerHour float64 // an hour, for all of it
-	Spot         bool    // the cloud may take it back
-	ServiceCPUs  float64 // CPUs of services on it: it can't be given back soon
-	Ref          any     // whatever the caller needs to find its own record
-	reserved     bool    // kept free in this round for a task at its skip limit
-	priceClass   int     // of its price by the CPU, in this round
+	PricePerHour float64 // of the whole machine
+	Spot         bool    // the cloud may reclaim it
+	ServiceCPUs  float64 // CPUs of the services on it, which keep it from being returned soon
+	Ref          any     // the caller's own record of the machine
+	reserved     bool    // kept free in this round for a task at its skip limit or for a gang
+	priceClass   int     // class of its price per CPU in this round
 }
 
-// IsReserved says whether m is kept free for a task at its skip limit or for a gang.
+// IsReserved reports whether m is kept free for a task at its skip limit or for a gang.
 func (m *Machine) IsReserved() bool { return m.reserved }
 
-// Fetch is an image on its way to a machine.
+// Fetch is the fetch of an image to a machine.
 type Fetch struct {
 	Image     string
 	GB        float64
@@ -48,21 +48,21 @@
 // QueuedTask is a task in a machine's local queue.
 type QueuedTask struct {
 	Job *Job
-	// WaitDeadline is when the work that it waits for should be over; later it
-	// returns to the global queue, since the estimate was wrong.
+	// WaitDeadline is when the work that the task waits for should have ended. After
+	// that the estimate was wrong, and the task returns to the global queue.
 	WaitDeadline time.Duration
 }
 
-// remainingFetchGB is the work in GB that m's open fetches still have to do.
+// remainingFetchGB returns how many GB the fetches under way on m have left.
 func (m *Machine) remainingFetchGB(now time.Duration) float64 {
-	left := 0.0
+	remaining := 0.0
 	for _, f := range m.Fetching {
-		left += f.GB
+		remaining += f.GB
 	}
 	if len(m.Fetching) > 0 {
-		left -= (now - m.Fetching[0].StartedAt).Seconds() * m.FetchGBPerS
+		remaining -= (now - m.Fetching[0].StartedAt).Seconds() * m.FetchGBPerS
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
 func (m *Machine) isFetching(image string) bool {
@@ -74,8 +74,8 @@
 	return false
 }
 
-// fetchTime is the design's estimate for a task of j on m from now on: image
-// size over the open fetch rate, plus the fetches already under way.
+// fetchTime estimates how long a task of j that is placed on m now waits for its
+// image: the GB of the image and of all fetches under way over the fetch rate.
 func (m *Machine) fetchTime(now time.Duration, j *Job) time.Duration {
 	if m.Images.Has(j.Image) {
 		return 0
@@ -87,17 +87,17 @@
 	return time.Duration(gb / m.FetchGBPerS * float64(time.Second))
 }
 
-// holdsImage says whether j's image is on m or on its way there.
+// holdsImage reports whether m has j's image or is fetching it.
 func (m *Machine) holdsImage(j *Job) bool { return m.Images.Has(j.Image) || m.isFetching(j.Image) }
 
-// AddRunning notes one more running task, keeping Running in the order of the ends.
+// AddRunning adds a running task and keeps Running sorted.
 func (m *Machine) AddRunning(r RunningTask) {
 	at := sort.Search(len(m.Running), func(i int) bool { return m.Running[i].EndAt > r.EndAt })
 	m.Running = slices.Insert(m.Running, at, r)
 }
 
-// EstimateWait estimates how long until m has room for one more task of j behind its
-// local queue.
+// EstimateWait estimates how long it takes until m has capacity for one more task
+// of j after all tasks of its local queue.
 func (m *Machine) EstimateWait(now time.Duration, j *Job) time.Duration {
 	need := j.Need
 	for _, q := range m.LocalQueue {
@@ -107,24 +107,24 @@
 		return 0
 	}
 	free := m.Free
-	last := now
-	next := 0 // of the local queue
+	latestEnd := now
+	nextQueued := 0 // index in the local queue
 	for _, r := range m.Running {
 		if r.EndAt == Never {
 			break
 		}
 		end := r.EndAt
 		if end < now {
-			end += 2 * (now - end) // overdue: as much again may be to come
+			end += 2 * (now - end) // overdue: assume that it takes as long again as it is late
 		}
-		last = max(last, end)
+		latestEnd = max(latestEnd, end)
 		free = free.Add(r.Need)
-		for next < len(m.LocalQueue) && free.Fits(m.LocalQueue[next].Job.Need) {
-			free = free.Sub(m.LocalQueue[next].Job.Need)
-			next++
+		for nextQueued < len(m.LocalQueue) && free.Fits(m.LocalQueue[nextQueued].Job.Need) {
+			free = free.Sub(m.LocalQueue[nextQueued].Job.Need)
+			nextQueued++
 		}
-		if next == len(m.LocalQueue) && free.Fits(j.Need) {
-			return last - now
+		if nextQueued == len(m.LocalQueue) && free.Fits(j.Need) {
+			return latestEnd - now
 		}
 	}
 	return Never
--- a/internal/sched/machine_order.go
+++ b/internal/sched/machine_order.go
@@ -5,17 +5,19 @@
 	"slices"
 )
 
-// The order of machines that serve a job equally soon.
+// Preference among machines on which a job's task would start equally soon.
 
-// isBetter orders machines that serve j equally soon. Work that can't afford to
-// begin anew goes to machines that stay; the spot machines are left to what
-// can. Otherwise work is drawn together on the machines that are cheapest by the CPU, then on those that services keep
-// anyway, then on the fullest, so that the others run empty and can be given
-// back.
+// isBetter reports whether a is preferred to b for a task of j that would start
+// equally soon on both. Work that would miss its goal by a restart goes to
+// machines that the cloud doesn't reclaim, and leaves spot machines to other work.
+// Otherwise work is packed on the machines with the lowest price per CPU, then on
+// those that services keep in use anyway, then on the fullest, so that the other
+// machines become empty and can be returned.
 func isBetter(a, b *Machine, j *Job) bool {
 	return isBetterWithLeftover(a, b, j, leftoverShare(a, j), leftoverShare(b, j))
 }
 
+// isBetterWithLeftover is isBetter with leftoverShare of both machines given.
 func isBetterWithLeftover(a, b *Machine, j *Job, leftA, leftB float64) bool {
 	if j.RestartMissesGoal && a.Spot != b.Spot {
 		return b.Spot
@@ -32,8 +34,8 @@
 	return a.ID < b.ID
 }
 
-// assignPriceClasses sorts the machines' prices by the CPU into classes: prices that
-// follow one another within a fifth are alike.
+// assignPriceClasses sorts the machines' prices per CPU into classes: a price that
+// is at most a fifth above the next lower one is in the same class.
 func assignPriceClasses(machines []*Machine) {
 	var prices []float64
 	for _, m := range machines {
@@ -57,6 +59,8 @@
 
 func (m *Machine) pricePerCPU() float64 { return m.PricePerHour / max(m.Capacity.CPUs, 1) }
 
+// leftoverShare returns which shares of m's CPUs, memory and GPUs are left free by
+// one more task of j, added up.
 func leftoverShare(m *Machine, j *Job) float64 {
 	left := 0.0
 	if m.Capacity.CPUs > 0 {
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// machineRanking ranks the machines that have room for a task of one job: those that
-// hold its image first, then those that have it soonest, then the better.
+// machineRanking ranks the machines that have capacity for a task of one job:
+// those that hold its image first, then by how soon they have it, then by isBetter.
 type machineRanking struct {
 	now  time.Duration
 	job  *Job
 	list []rankedMachine // a heap
-	// holders without room, for the comparison with fetching; worked out when
-	// it is first needed.
+	// holders are the machines without capacity that have the image or are fetching
+	// it. Waiting for one of them is compared with fetching elsewhere. They are
+	// determined when they are first needed.
 	holders      []rankedMachine
 	holdersKnown bool
 }
@@ -20,107 +21,108 @@
 type rankedMachine struct {
 	machine  *Machine
 	hasImage bool
-	delay    time.Duration
-	leftover float64
+	delay    time.Duration // until a task placed on it or queued at it could run
+	leftover float64       // see leftoverShare
 }
 
-func (c *machineRanking) Len() int { return len(c.list) }
-func (c *machineRanking) Less(i, k int) bool {
-	a, b := &c.list[i], &c.list[k]
+func (r *machineRanking) Len() int { return len(r.list) }
+func (r *machineRanking) Less(i, k int) bool {
+	a, b := &r.list[i], &r.list[k]
 	if a.hasImage != b.hasImage {
 		return a.hasImage
 	}
 	if a.delay != b.delay {
 		return a.delay < b.delay
 	}
-	return isBetterWithLeftover(a.machine, b.machine, c.job, a.leftover, b.leftover)
+	return isBetterWithLeftover(a.machine, b.machine, r.job, a.leftover, b.leftover)
 }
-func (c *machineRanking) Swap(i, k int) { c.list[i], c.list[k] = c.list[k], c.list[i] }
-func (c *machineRanking) Push(x any)    { c.list = append(c.list, x.(rankedMachine)) }
-func (c *machineRanking) Pop() any {
-	x := c.list[len(c.list)-1]
-	c.list = c.list[:len(c.list)-1]
+func (r *machineRanking) Swap(i, k int) { r.list[i], r.list[k] = r.list[k], r.list[i] }
+func (r *machineRanking) Push(x any)    { r.list = append(r.list, x.(rankedMachine)) }
+func (r *machineRanking) Pop() any {
+	x := r.list[len(r.list)-1]
+	r.list = r.list[:len(r.list)-1]
 	return x
 }
 
-func newMachineRanking(now time.Duration, j *Job, roomy []*Machine, env Env) *machineRanking {
-	c := &machineRanking{now: now, job: j}
-	for _, m := range roomy {
+func newMachineRanking(now time.Duration, j *Job, withCapacity []*Machine, env Env) *machineRanking {
+	ranking := &machineRanking{now: now, job: j}
+	for _, m := range withCapacity {
 		if !m.reserved && m.Free.Fits(j.Need) && env.Allowed(j, m) {
-			c.list = append(c.list, c.entryFor(m))
+			ranking.list = append(ranking.list, ranking.entryFor(m))
 		}
 	}
-	heap.Init(c)
-	return c
+	heap.Init(ranking)
+	return ranking
 }
 
-func (c *machineRanking) entryFor(m *Machine) rankedMachine {
-	return rankedMachine{m, m.Images.Has(c.job.Image), m.fetchTime(c.now, c.job), leftoverShare(m, c.job)}
+func (r *machineRanking) entryFor(m *Machine) rankedMachine {
+	return rankedMachine{m, m.Images.Has(r.job.Image), m.fetchTime(r.now, r.job), leftoverShare(m, r.job)}
 }
 
-// best is the machine for the next task. What was allowed when the list was
-// made may have been taken or ruled out since, by the tasks placed so far.
-func (c *machineRanking) best(env Env) (rankedMachine, bool) {
-	for len(c.list) > 0 {
-		if top := c.list[0]; !top.machine.reserved && env.Allowed(c.job, top.machine) {
+// best returns the machine for the next task. It drops machines that tasks placed
+// since the ranking was made have reserved or ruled out.
+func (r *machineRanking) best(env Env) (rankedMachine, bool) {
+	for len(r.list) > 0 {
+		if top := r.list[0]; !top.machine.reserved && env.Allowed(r.job, top.machine) {
 			return top, true
 		}
-		heap.Pop(c)
+		heap.Pop(r)
 	}
 	return rankedMachine{}, false
 }
 
-// placedOnBest takes in that a task went to the best machine.
-func (c *machineRanking) placedOnBest() {
-	m := c.list[0].machine
-	if m.Free.Fits(c.job.Need) {
-		c.list[0] = c.entryFor(m)
-		heap.Fix(c, 0)
+// placedOnBest updates the ranking after a task was placed on the best machine.
+func (r *machineRanking) placedOnBest() {
+	m := r.list[0].machine
+	if m.Free.Fits(r.job.Need) {
+		r.list[0] = r.entryFor(m)
+		heap.Fix(r, 0)
 		return
 	}
-	heap.Pop(c)
-	if c.holdersKnown {
-		c.addHolder(m) // it has the image, or will
+	heap.Pop(r)
+	if r.holdersKnown {
+		r.addHolder(m) // it has the image or is fetching it now
 	}
 }
 
-// soonestHolder is the machine without room that holds the image, or will, and
-// should have room first; its cost is Never if there is none.
-func (c *machineRanking) soonestHolder(machines []*Machine, env Env) (*Machine, time.Duration) {
-	if !c.holdersKnown {
-		c.holdersKnown = true
+// soonestHolder returns the machine without capacity that has the image or is
+// fetching it and should have capacity first, with the wait for it. The wait is
+// Never if there is no such machine.
+func (r *machineRanking) soonestHolder(machines []*Machine, env Env) (*Machine, time.Duration) {
+	if !r.holdersKnown {
+		r.holdersKnown = true
 		for _, m := range machines {
-			if !m.reserved && m.Capacity.Fits(c.job.Need) && !m.Free.Fits(c.job.Need) && m.holdsImage(c.job) {
-				c.addHolder(m)
+			if !m.reserved && m.Capacity.Fits(r.job.Need) && !m.Free.Fits(r.job.Need) && m.holdsImage(r.job) {
+				r.addHolder(m)
 			}
 		}
 	}
 	var best *Machine
-	cost := Never
-	for i := range c.holders {
-		h := &c.holders[i]
-		// By name where equal: the order must not hang on who came when.
-		if h.delay < cost || h.delay == cost && best != nil && h.machine.ID < best.ID {
-			if !h.machine.reserved && env.Allowed(c.job, h.machine) {
-				best, cost = h.machine, h.delay
+	shortestWait := Never
+	for i := range r.holders {
+		holder := &r.holders[i]
+		// Names break ties: the choice must not depend on the order of insertion.
+		if holder.delay < shortestWait || holder.delay == shortestWait && best != nil && holder.machine.ID < best.ID {
+			if !holder.machine.reserved && env.Allowed(r.job, holder.machine) {
+				best, shortestWait = holder.machine, holder.delay
 			}
 		}
 	}
-	return best, cost
+	return best, shortestWait
 }
 
-func (c *machineRanking) addHolder(m *Machine) {
-	if w := m.EstimateWait(c.now, c.job); w < Never {
-		c.holders = append(c.holders, rankedMachine{machine: m, delay: max(w, m.fetchTime(c.now, c.job))})
+func (r *machineRanking) addHolder(m *Machine) {
+	if w := m.EstimateWait(r.now, r.job); w < Never {
+		r.holders = append(r.holders, rankedMachine{machine: m, delay: max(w, m.fetchTime(r.now, r.job))})
 	}
 }
 
-// updateHolder takes in that a task has joined m's local queue.
-func (c *machineRanking) updateHolder(m *Machine) {
-	for i := range c.holders {
-		if c.holders[i].machine == m {
-			c.holders = append(c.holders[:i], c.holders[i+1:]...)
-			c.addHolder(m)
+// updateHolder updates the wait for m after a task has joined its local queue.
+func (r *machineRanking) updateHolder(m *Machine) {
+	for i := range r.holders {
+		if r.holders[i].machine == m {
+			r.holders = append(r.holders[:i], r.holders[i+1:]...)
+			r.addHolder(m)
 			return
 		}
 	}
--- a/internal/sched/reference_rule_test.go
+++ b/internal/sched/reference_rule_test.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// referenceRule is the rule as the design tells it, task by task and machine by
-// machine: slow, and the measure for the ranking that Round uses.
+// referenceRule is the dispatch rule of the design, task by task and machine by
+// machine. It is slow, and the Dispatcher's ranking must decide the same.
 type referenceRule struct{ cfg Config }
 
 func (r referenceRule) run(now time.Duration, jobs []*Job, machines []*Machine, env Env) {
 	assignPriceClasses(machines)
-	round := NewDispatcher(r.cfg)
+	dispatcher := NewDispatcher(r.cfg)
 	for _, m := range machines {
 		m.reserved = false
-		round.serveLocalQueue(now, m, env)
+		dispatcher.serveLocalQueue(now, m, env)
 	}
 	for _, j := range jobs {
 		j.hasReservation = false
 	}
 	for i, j := range jobs {
-		// A job that finds no place takes none from those it would pass.
+		// If no machine is free for the job, no machine is reserved for the jobs ahead of it.
 		ahead := jobs[:i]
 		if !slices.ContainsFunc(machines, func(m *Machine) bool { return !m.reserved && m.Free.Fits(j.Need) && env.Allowed(j, m) }) {
 			ahead = nil
 		}
-		for j.Waiting > 0 && env.WithinLimit(j) && r.placeOne(round, now, ahead, j, machines, env) {
+		for j.Waiting > 0 && env.WithinLimit(j) && r.placeOne(dispatcher, now, ahead, j, machines, env) {
 		}
 	}
 }
 
-func (r referenceRule) placeOne(round *Dispatcher, now time.Duration, ahead []*Job, j *Job, machines []*Machine, env Env) bool {
+func (r referenceRule) placeOne(dispatcher *Dispatcher, now time.Duration, ahead []*Job, j *Job, machines []*Machine, env Env) bool {
 	passed := earlierJobs(ahead, j, env)
 	for _, a := range passed {
 		if a.Skips >= r.cfg.SkipLimit && !a.hasReservation {
-			round.reserveMachine(now, a, machines, env)
+			dispatcher.reserveMachine(now, a, machines, env)
 		}
 	}
-	var hit, free, busy *Machine
-	freeCost, busyCost := Never, Never
+	var hit, free, holder *Machine
+	fetchDelay, holderDelay := Never, Never
 	for _, m := range machines {
 		switch {
 		case m.reserved || !m.Capacity.Fits(j.Need) || !env.Allowed(j, m):
@@ -51,19 +51,19 @@
 				hit = m
 			}
 		case m.Free.Fits(j.Need):
-			if c := m.fetchTime(now, j); free == nil || c < freeCost || c == freeCost && isBetter(m, free, j) {
-				free, freeCost = m, c
+			if c := m.fetchTime(now, j); free == nil || c < fetchDelay || c == fetchDelay && isBetter(m, free, j) {
+				free, fetchDelay = m, c
 			}
 		case m.holdsImage(j):
 			if w := m.EstimateWait(now, j); w < Never {
-				if c := max(w, m.fetchTime(now, j)); c < busyCost {
-					busy, busyCost = m, c
+				if c := max(w, m.fetchTime(now, j)); c < holderDelay {
+					holder, holderDelay = m, c
 				}
 			}
 		}
 	}
 	atLimit := j.Skips >= r.cfg.SkipLimit
-	path, to := Path(""), hit
+	path, target := Path(""), hit
 	switch {
 	case hit != nil && len(passed) > 0:
 		path = PathSkipHit
@@ -71,21 +71,21 @@
 		path = PathHit
 	case free == nil:
 		if atLimit && !j.hasReservation {
-			round.reserveMachine(now, j, machines, env)
+			dispatcher.reserveMachine(now, j, machines, env)
 		}
 		return false
 	case atLimit:
-		path, to = PathSkipLimit, free
-	case busyCost < freeCost:
-		busy.LocalQueue = append(busy.LocalQueue, QueuedTask{Job: j, WaitDeadline: now + max(busyCost, time.Second)})
+		path, target = PathSkipLimit, free
+	case holderDelay < fetchDelay:
+		holder.LocalQueue = append(holder.LocalQueue, QueuedTask{Job: j, WaitDeadline: now + max(holderDelay, time.Second)})
 		j.Waiting--
 		return true
 	case len(passed) > 0:
-		path, to = PathPassMiss, free
+		path, target = PathPassMiss, free
 	default:
-		path, to = PathFetch, free
+		path, target = PathFetch, free
 	}
-	if !env.Place(j, to, path) {
+	if !env.Place(j, target, path) {
 		return false
 	}
 	for _, a := range passed {
@@ -94,42 +94,42 @@
 	return true
 }
 
-// randomFleet is a random fleet with jobs, of a size that a test can play twice.
+// randomFleet is a random fleet with jobs, small enough to simulate twice.
 type randomFleet struct {
 	scriptedDispatcher
 	zoneOf      map[*Machine]int
-	tasksByZone map[string]map[int]int // per job and zone
-	maxPerZone  map[string]int         // most in one zone; 0: any
+	tasksByZone map[string]map[int]int // by job, then zone
+	maxPerZone  map[string]int         // tasks of a job in one zone; 0: no limit
 }
 
-func (t *randomFleet) Allowed(j *Job, m *Machine) bool {
-	most := t.maxPerZone[j.ID]
-	return most == 0 || t.tasksByZone[j.ID][t.zoneOf[m]] < most
+func (f *randomFleet) Allowed(j *Job, m *Machine) bool {
+	maxTasks := f.maxPerZone[j.ID]
+	return maxTasks == 0 || f.tasksByZone[j.ID][f.zoneOf[m]] < maxTasks
 }
 
-func (t *randomFleet) Place(j *Job, m *Machine, path Path) bool {
-	if t.tasksByZone[j.ID] == nil {
-		t.tasksByZone[j.ID] = map[int]int{}
+func (f *randomFleet) Place(j *Job, m *Machine, path Path) bool {
+	if f.tasksByZone[j.ID] == nil {
+		f.tasksByZone[j.ID] = map[int]int{}
 	}
-	t.tasksByZone[j.ID][t.zoneOf[m]]++
+	f.tasksByZone[j.ID][f.zoneOf[m]]++
 	j.Waiting--
 	m.Free = m.Free.Sub(j.Need)
 	end := Never
 	if !j.IsService {
-		end = t.now + j.Estimate
+		end = f.now + j.Estimate
 	}
 	m.AddRunning(RunningTask{j.Need, end})
 	if !m.holdsImage(j) {
-		m.Fetching = append(m.Fetching, Fetch{j.Image, j.ImageGB, t.now})
+		m.Fetching = append(m.Fetching, Fetch{j.Image, j.ImageGB, f.now})
 	}
-	fmt.Fprintf(&t.output, "%s -> %s (%s)\n", j.ID, m.ID, path)
+	fmt.Fprintf(&f.output, "%s -> %s (%s)\n", j.ID, m.ID, path)
 	return true
 }
 
 func newRandomFleet(seed uint64) *randomFleet {
 	rnd := rand.New(rand.NewPCG(seed, 3))
-	t := &randomFleet{zoneOf: map[*Machine]int{}, tasksByZone: map[string]map[int]int{}, maxPerZone: map[string]int{}}
-	t.now = 100 * time.Second
+	f := &randomFleet{zoneOf: map[*Machine]int{}, tasksByZone: map[string]map[int]int{}, maxPerZone: map[string]int{}}
+	f.now = 100 * time.Second
 	image := func() (string, float64) { n := rnd.IntN(8); return fmt.Sprintf("img-%d", n), 1 + float64(n)/2 }
 	for i := range 20 + rnd.IntN(100) {
 		m := &Machine{ID: fmt.Sprintf("m%03d", i), FetchGBPerS: 0.5 + rnd.Float64(), Images: &Cache{SizeGB: 12}, Spot: rnd.IntN(4) == 0}
@@ -152,10 +152,10 @@
 		}
 		if rnd.IntN(5) == 0 {
 			name, gb := image()
-			m.Fetching = append(m.Fetching, Fetch{name, gb, t.now - time.Second})
+			m.Fetching = append(m.Fetching, Fetch{name, gb, f.now - time.Second})
 		}
-		t.zoneOf[m] = rnd.IntN(3)
-		t.machines = append(t.machines, m)
+		f.zoneOf[m] = rnd.IntN(3)
+		f.machines = append(f.machines, m)
 	}
 	for i := range 1 + rnd.IntN(20) {
 		name, gb := image()
@@ -164,67 +164,68 @@
 			Waiting: 1 + rnd.IntN(40), Estimate: time.Duration(5+rnd.IntN(60)) * time.Second, Skips: rnd.IntN(30), RestartMissesGoal: rnd.IntN(4) == 0}
 		if rnd.IntN(4) == 0 {
 			j.IsService, j.Waiting = true, 1+rnd.IntN(9)
-			t.maxPerZone[j.ID] = (j.Waiting + 1) / 2
+			f.maxPerZone[j.ID] = (j.Waiting + 1) / 2
 		}
-		t.jobs = append(t.jobs, j)
+		f.jobs = append(f.jobs, j)
 	}
-	return t
+	return f
 }
 
-// advance lets time go by: what should have ended by then has.
-func (t *randomFleet) advance(d time.Duration) {
-	t.now += d
-	for _, m := range t.machines {
-		for len(m.Running) > 0 && m.Running[0].EndAt <= t.now {
+// advance moves the clock forward and ends the tasks whose end time has passed.
+func (f *randomFleet) advance(d time.Duration) {
+	f.now += d
+	for _, m := range f.machines {
+		for len(m.Running) > 0 && m.Running[0].EndAt <= f.now {
 			m.Free = m.Free.Add(m.Running[0].Need)
 			m.Running = m.Running[1:]
 		}
 	}
 }
 
-func (t *randomFleet) result() string {
-	for _, m := range t.machines {
+func (f *randomFleet) result() string {
+	for _, m := range f.machines {
 		for _, q := range m.LocalQueue {
-			fmt.Fprintf(&t.output, "%s waits at %s until %v\n", q.Job.ID, m.ID, q.WaitDeadline)
+			fmt.Fprintf(&f.output, "%s waits at %s until %v\n", q.Job.ID, m.ID, q.WaitDeadline)
 		}
 	}
-	for _, j := range t.jobs {
-		fmt.Fprintf(&t.output, "%s: %d wait, %d skips\n", j.ID, j.Waiting, j.Skips)
+	for _, j := range f.jobs {
+		fmt.Fprintf(&f.output, "%s: %d wait, %d skips\n", j.ID, j.Waiting, j.Skips)
 	}
-	return t.output.String()
+	return f.output.String()
 }
 
-// TestRankingMatchesReferenceRule: looking at each machine once a job, and
-// only at those with room, must not change what is decided.
+// TestRankingMatchesReferenceRule guards against decisions that change because the
+// dispatcher looks at each machine only once per job, and only at machines with
+// free capacity.
 func TestRankingMatchesReferenceRule(t *testing.T) {
 	paths := map[Path]int{}
 	for seed := uint64(1); seed <= 300; seed++ {
-		a, b := newRandomFleet(seed), newRandomFleet(seed)
-		for range 3 { // later rounds begin with local queues and skips
-			if !NewDispatcher(Config{SkipLimit: 25}).RunRound(a.now, a.jobs, a.machines, a) {
-				t.Fatal("a round without a budget did not come to its end")
+		ranked, reference := newRandomFleet(seed), newRandomFleet(seed)
+		for range 3 { // later rounds start with local queues and skips
+			if !NewDispatcher(Config{SkipLimit: 25}).RunRound(ranked.now, ranked.jobs, ranked.machines, ranked) {
+				t.Fatal("round without a budget: got incomplete, want complete")
 			}
-			referenceRule{Config{SkipLimit: 25}}.run(b.now, b.jobs, b.machines, b)
-			a.advance(7 * time.Second)
-			b.advance(7 * time.Second)
-		}
-		ra, rb := a.result(), b.result()
-		if ra != rb {
-			la, lb := strings.Split(ra, "\n"), strings.Split(rb, "\n")
-			for i := range la {
-				if i >= len(lb) || la[i] != lb[i] {
-					t.Fatalf("seed %d, line %d: ranked %q, plain %q", seed, i, la[i], lb[min(i, len(lb)-1)])
+			referenceRule{Config{SkipLimit: 25}}.run(reference.now, reference.jobs, reference.machines, reference)
+			ranked.advance(7 * time.Second)
+			reference.advance(7 * time.Second)
+		}
+		rankedResult, referenceResult := ranked.result(), reference.result()
+		if rankedResult != referenceResult {
+			rankedLines, referenceLines := strings.Split(rankedResult, "\n"), strings.Split(referenceResult, "\n")
+			for i := range rankedLines {
+				if i >= len(referenceLines) || rankedLines[i] != referenceLines[i] {
+					t.Fatalf("seed %d, line %d: dispatcher got %q, reference rule wants %q", seed, i, rankedLines[i], referenceLines[min(i, len(referenceLines)-1)])
 				}
 			}
-			t.Fatalf("seed %d: the plain rule decided more", seed)
+			t.Fatalf("seed %d: got fewer decisions than the reference rule makes", seed)
 		}
 		for _, p := range []Path{PathHit, PathSkipHit, PathFetch, PathLocalQueue, PathSkipLimit, PathPassMiss} {
-			paths[p] += strings.Count(ra, "("+string(p)+")")
+			paths[p] += strings.Count(rankedResult, "("+string(p)+")")
 		}
 	}
 	for _, p := range []Path{PathHit, PathSkipHit, PathFetch, PathLocalQueue, PathSkipLimit, PathPassMiss} {
 		if paths[p] == 0 {
-			t.Errorf("no start by path %s: the comparison leaves it out", p)
+			t.Errorf("path %s: got no placement, want at least one, or the comparison doesn't cover it", p)
 		}
 	}
 }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,7 +1,10 @@
-// Package sched is the dispatch rule of the design
-// (docs/design.md): one global queue by arrival, a local queue per machine,
-// hits first, the cheaper of waiting at a holder and fetching elsewhere, and
-// out-of-order hits up to a skip limit. It is pure; callers hand in the time.
+// Package sched decides which waiting task goes to which machine
+// (docs/design.md). Jobs wait in one global queue in order of arrival, and each
+// machine has a local queue. A task preferably goes to a free machine that
+// already holds its image (a hit), even ahead of earlier tasks, up to a skip
+// limit. Otherwise it waits for a machine that holds the image or has the image
+// fetched elsewhere, whichever is sooner. The package does no I/O and reads no
+// clock: callers pass the current time.
 package sched
 
 import "time"
@@ -11,52 +14,52 @@
 type Job struct {
 	ID                string
 	Rank              int    // 0 is the most urgent
-	Arrival           uint64 // order of acceptance
+	Arrival           uint64 // grows in the order in which jobs were accepted
 	Need              Resources
 	Image             string
 	ImageGB           float64
-	Estimate          time.Duration // run time; 0 for services
-	IsService         bool          // a service: runs until cancelled
-	IsGang            bool          // goes only when all its tasks fit now
-	OneZone           bool          // a gang all of whose tasks must be in one zone
-	MayReserve        bool          // a gang for which machines are kept free
-	RestartMissesGoal bool          // a task that has to begin anew would come too late
+	Estimate          time.Duration // expected run time of a task; 0 for services
+	IsService         bool          // runs until it is cancelled
+	IsGang            bool          // starts only when all its tasks fit now
+	OneZone           bool          // a gang whose tasks must all be in one zone
+	MayReserve        bool          // a gang for which machines may be kept free
+	RestartMissesGoal bool          // a task that has to restart would miss the goal of its class
 	Waiting           int           // tasks in the global queue
-	Skips             int           // times that a later task went first
-	Ref               any           // whatever the caller needs to find its own record
+	Skips             int           // how often a later task went first
+	Ref               any           // the caller's own record of the job
 	hasReservation    bool          // a machine is kept free for it in this round
 }
 
-// Config holds the operator's settings of the rule.
+// Config holds the operator's settings for dispatch.
 type Config struct {
 	SkipLimit int
 }
 
-// Env is what the rule asks of its surroundings.
+// Env is what the dispatcher needs from its caller.
 type Env interface {
-	// Allowed says whether a task of j may be on m now: type, zone, kind,
-	// spread and the job's other tasks. It does not look at room.
+	// Allowed reports whether a task of j may be on m now by machine type, zone,
+	// job kind, spread and the job's other tasks. It doesn't check free capacity.
 	Allowed(j *Job, m *Machine) bool
-	// WithinLimit says whether j's team may use more now.
+	// WithinLimit reports whether one more task of j keeps its team within its limit.
 	WithinLimit(j *Job) bool
-	// Place binds one waiting task of j to m; false if it can't after all.
+	// Place binds one waiting task of j to m. It returns false if that isn't possible.
 	Place(j *Job, m *Machine, path Path) bool
-	// Undo takes back what Place did for j in this round.
+	// Undo reverts all placements of j in this round.
 	Undo(j *Job)
-	// BudgetExhausted says that the round's time budget is used up.
+	// BudgetExhausted reports whether the round's time budget is used up.
 	BudgetExhausted() bool
 }
 
-// Path is the way by which a task came to its machine.
+// Path names the rule by which a task was placed on its machine.
 type Path string
 
-// The paths of the rule, counted for the operator.
+// Placements are counted by path for the operator.
 const (
-	PathHit        Path = "hit"       // head of the queue to a roomy holder
-	PathSkipHit    Path = "skip_hit"  // hit ahead of earlier tasks
-	PathFetch      Path = "fetch"     // cheaper to fetch on a free machine
-	PathLocalQueue Path = "local"     // from a local queue
-	PathSkipLimit  Path = "limit"     // passed SkipLimit times, went at once
-	PathGang       Path = "gang"      // with all the others of its job
-	PathPassMiss   Path = "pass_miss" // exception: the tasks ahead fit nowhere now
+	PathHit        Path = "hit"       // first in the queue; the machine holds the image
+	PathSkipHit    Path = "skip_hit"  // a hit that went ahead of earlier tasks
+	PathFetch      Path = "fetch"     // fetching the image is sooner than waiting for a machine that holds it
+	PathLocalQueue Path = "local"     // from the machine's local queue
+	PathSkipLimit  Path = "limit"     // skipped SkipLimit times, so placed without waiting for a holder of the image
+	PathGang       Path = "gang"      // together with all other tasks of its gang
+	PathPassMiss   Path = "pass_miss" // without the image, ahead of tasks that fit nowhere now
 )
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -13,73 +13,74 @@
 
 var update = flag.Bool("update", false, "rewrite the kept traces")
 
-// scriptedDispatcher is a dispatcher with its machines and jobs, driven by a script.
+// scriptedDispatcher implements Env for a dispatcher whose machines and jobs are
+// set up by a script. It records the decisions.
 type scriptedDispatcher struct {
 	now          time.Duration
 	dispatcher   *Dispatcher
 	machines     []*Machine
 	jobs         []*Job
-	cpuLimit     map[string]float64 // CPUs left to a job's team
-	budget       int
+	cpuLimit     map[string]float64 // by job: CPUs that its team may still use
+	budget       int                // calls of BudgetExhausted that return false; 0: no limit
 	budgetChecks int
-	gangTasksOn  map[*Machine]int // of the gang at hand
+	gangTasksOn  map[*Machine]int // tasks of the gang that is being placed
 	output       strings.Builder
 }
 
-func (b *scriptedDispatcher) Undo(j *Job) {
-	for _, m := range b.machines {
-		if n := b.gangTasksOn[m]; n > 0 {
+func (d *scriptedDispatcher) Undo(j *Job) {
+	for _, m := range d.machines {
+		if n := d.gangTasksOn[m]; n > 0 {
 			m.Free.CPUs += float64(n) * j.Need.CPUs
 			m.Running = m.Running[:len(m.Running)-n]
 		}
 	}
-	clear(b.gangTasksOn)
-	fmt.Fprintf(&b.output, "  %s: not all fit, taken back\n", j.ID)
+	clear(d.gangTasksOn)
+	fmt.Fprintf(&d.output, "  %s: not all fit, taken back\n", j.ID)
 }
 
-func (b *scriptedDispatcher) Allowed(j *Job, m *Machine) bool { return true }
-func (b *scriptedDispatcher) BudgetExhausted() bool {
-	b.budgetChecks++
-	return b.budget > 0 && b.budgetChecks > b.budget
+func (d *scriptedDispatcher) Allowed(j *Job, m *Machine) bool { return true }
+func (d *scriptedDispatcher) BudgetExhausted() bool {
+	d.budgetChecks++
+	return d.budget > 0 && d.budgetChecks > d.budget
 }
-func (b *scriptedDispatcher) WithinLimit(j *Job) bool {
-	left, ok := b.cpuLimit[j.ID]
+func (d *scriptedDispatcher) WithinLimit(j *Job) bool {
+	left, ok := d.cpuLimit[j.ID]
 	return !ok || j.Need.CPUs <= left
 }
 
-func (b *scriptedDispatcher) Place(j *Job, m *Machine, path Path) bool {
+func (d *scriptedDispatcher) Place(j *Job, m *Machine, path Path) bool {
 	j.Waiting--
 	if path == PathGang {
-		b.gangTasksOn[m]++
+		d.gangTasksOn[m]++
 	}
 	m.Free = m.Free.Sub(j.Need)
 	end := Never
 	if !j.IsService {
-		end = b.now + m.fetchTime(b.now, j) + j.Estimate
+		end = d.now + m.fetchTime(d.now, j) + j.Estimate
 	}
 	m.AddRunning(RunningTask{j.Need, end})
-	if left, ok := b.cpuLimit[j.ID]; ok {
-		b.cpuLimit[j.ID] = left - j.Need.CPUs
+	if left, ok := d.cpuLimit[j.ID]; ok {
+		d.cpuLimit[j.ID] = left - j.Need.CPUs
 	}
-	fmt.Fprintf(&b.output, "  %s -> %s (%s)\n", j.ID, m.ID, path)
+	fmt.Fprintf(&d.output, "  %s -> %s (%s)\n", j.ID, m.ID, path)
 	if !m.Images.Has(j.Image) {
 		m.Images.Use(j.Image, j.ImageGB)
 	}
 	return true
 }
 
-// runLine carries one line of a script out.
-func (b *scriptedDispatcher) runLine(t *testing.T, line string) {
-	f := strings.Fields(line)
-	num := func(i int) float64 {
-		v, err := strconv.ParseFloat(f[i], 64)
+// runLine executes one line of a script.
+func (d *scriptedDispatcher) runLine(t *testing.T, line string) {
+	fields := strings.Fields(line)
+	number := func(i int) float64 {
+		v, err := strconv.ParseFloat(fields[i], 64)
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
 		return v
 	}
-	find := func(id string) *Machine {
-		for _, m := range b.machines {
+	findMachine := func(id string) *Machine {
+		for _, m := range d.machines {
 			if m.ID == id {
 				return m
 			}
@@ -87,66 +88,66 @@
 		t.Fatalf("%s: no machine %s", line, id)
 		return nil
 	}
-	switch f[0] {
+	switch fields[0] {
 	case "machine": // machine ID CPUS IMAGE...
-		m := &Machine{ID: f[1], FetchGBPerS: 1, Images: &Cache{SizeGB: 20}}
-		m.Capacity = Resources{CPUs: num(2), MemoryGB: 100}
+		m := &Machine{ID: fields[1], FetchGBPerS: 1, Images: &Cache{SizeGB: 20}}
+		m.Capacity = Resources{CPUs: number(2), MemoryGB: 100}
 		m.Free = m.Capacity
-		for _, im := range f[3:] {
+		for _, im := range fields[3:] {
 			m.Images.Use(im, 3)
 		}
-		b.machines = append(b.machines, m)
+		d.machines = append(d.machines, m)
 	case "busy": // busy MACHINE CPUS UNTIL|ever
-		m := find(f[1])
+		m := findMachine(fields[1])
 		end := Never
-		if f[3] != "ever" {
-			end = time.Duration(num(3)) * time.Second
+		if fields[3] != "ever" {
+			end = time.Duration(number(3)) * time.Second
 		}
-		m.AddRunning(RunningTask{Resources{CPUs: num(2)}, end})
-		m.Free.CPUs -= num(2)
+		m.AddRunning(RunningTask{Resources{CPUs: number(2)}, end})
+		m.Free.CPUs -= number(2)
 	case "job": // job ID TASKS CPUS IMAGE GB ESTIMATE [RANK]
-		j := &Job{ID: f[1], Waiting: int(num(2)), Need: Resources{CPUs: num(3)}, Image: f[4], ImageGB: num(5),
-			Estimate: time.Duration(num(6)) * time.Second, Arrival: uint64(len(b.jobs))}
+		j := &Job{ID: fields[1], Waiting: int(number(2)), Need: Resources{CPUs: number(3)}, Image: fields[4], ImageGB: number(5),
+			Estimate: time.Duration(number(6)) * time.Second, Arrival: uint64(len(d.jobs))}
 		if j.Estimate == 0 {
 			j.IsService = true
 		}
-		b.jobs = append(b.jobs, j)
-	case "gang": // gang JOB: it is one
-		for _, j := range b.jobs {
-			j.IsGang = j.IsGang || j.ID == f[1]
+		d.jobs = append(d.jobs, j)
+	case "gang": // gang JOB: makes the job a gang
+		for _, j := range d.jobs {
+			j.IsGang = j.IsGang || j.ID == fields[1]
 		}
 	case "limit": // limit JOB CPUS
-		b.cpuLimit[f[1]] = num(2)
+		d.cpuLimit[fields[1]] = number(2)
 	case "skipped": // skipped JOB N
-		for _, j := range b.jobs {
-			if j.ID == f[1] {
-				j.Skips = int(num(2))
+		for _, j := range d.jobs {
+			if j.ID == fields[1] {
+				j.Skips = int(number(2))
 			}
 		}
-	case "free": // free MACHINE: its running tasks end
-		m := find(f[1])
+	case "free": // free MACHINE: ends its running tasks
+		m := findMachine(fields[1])
 		m.Free, m.Running = m.Capacity, nil
 	case "budget":
-		b.budget = int(num(1))
+		d.budget = int(number(1))
 	case "at":
-		b.now = time.Duration(num(1)) * time.Second
+		d.now = time.Duration(number(1)) * time.Second
 	case "round":
-		b.budgetChecks = 0
-		whole := b.dispatcher.RunRound(b.now, b.jobs, b.machines, b)
-		if !whole {
-			fmt.Fprintf(&b.output, "  budget used up\n")
+		d.budgetChecks = 0
+		complete := d.dispatcher.RunRound(d.now, d.jobs, d.machines, d)
+		if !complete {
+			fmt.Fprintf(&d.output, "  budget used up\n")
 		}
-		for _, m := range b.machines {
+		for _, m := range d.machines {
 			for _, q := range m.LocalQueue {
-				fmt.Fprintf(&b.output, "  %s waits at %s until %gs\n", q.Job.ID, m.ID, q.WaitDeadline.Seconds())
+				fmt.Fprintf(&d.output, "  %s waits at %s until %gs\n", q.Job.ID, m.ID, q.WaitDeadline.Seconds())
 			}
 			if m.reserved {
-				fmt.Fprintf(&b.output, "  %s is kept free\n", m.ID)
+				fmt.Fprintf(&d.output, "  %s is kept free\n", m.ID)
 			}
 		}
-		for _, j := range b.jobs {
+		for _, j := range d.jobs {
 			if j.Waiting > 0 {
-				fmt.Fprintf(&b.output, "  %s: %d in the global queue, passed %d times\n", j.ID, j.Waiting, j.Skips)
+				fmt.Fprintf(&d.output, "  %s: %d in the global queue, passed %d times\n", j.ID, j.Waiting, j.Skips)
 			}
 		}
 	default:
@@ -154,12 +155,12 @@
 	}
 }
 
-// TestTraces plays the scripts in testdata: lines that begin with two spaces
-// are what the dispatcher decided, kept for people to read.
+// TestTraces runs the scripts in testdata. Lines that begin with two spaces are the
+// decisions that the dispatcher is expected to make.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) < 8 {
-		t.Fatalf("traces missing: %v %v", files, err)
+		t.Fatalf("got traces %v (error %v), want at least 8", files, err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -167,24 +168,24 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &scriptedDispatcher{dispatcher: NewDispatcher(Config{SkipLimit: 25}), cpuLimit: map[string]float64{}, gangTasksOn: map[*Machine]int{}}
+			d := &scriptedDispatcher{dispatcher: NewDispatcher(Config{SkipLimit: 25}), cpuLimit: map[string]float64{}, gangTasksOn: map[*Machine]int{}}
 			for line := range strings.Lines(string(kept)) {
 				if strings.HasPrefix(line, "  ") {
 					continue
 				}
-				b.output.WriteString(line)
+				d.output.WriteString(line)
 				if s := strings.TrimSpace(line); s != "" && !strings.HasPrefix(s, "#") {
-					b.runLine(t, s)
+					d.runLine(t, s)
 				}
 			}
 			if *update {
-				if err := os.WriteFile(file, []byte(b.output.String()), 0o644); err != nil {
+				if err := os.WriteFile(file, []byte(d.output.String()), 0o644); err != nil {
 					t.Fatal(err)
 				}
 				return
 			}
-			if got := b.output.String(); got != string(kept) {
-				t.Errorf("decisions differ from %s; got:\n%s", file, got)
+			if got := d.output.String(); got != string(kept) {
+				t.Errorf("decisions differ from %s, got:\n%s", file, got)
 			}
 		})
 	}
@@ -197,6 +198,6 @@
 	c.Use("a", 2)
 	c.Use("c", 2)
 	if c.Has("b") || !c.Has("a") || !c.Has("c") {
-		t.Errorf("want a and c, not b: %v %v %v", c.Has("a"), c.Has("b"), c.Has("c"))
+		t.Errorf("got a %v, b %v, c %v; want a and c, not b", c.Has("a"), c.Has("b"), c.Has("c"))
 	}
 }
