--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -8,22 +8,22 @@
 	"mulleinfall/internal/sched"
 )
 
-// dispatchState is what a leader keeps from one round of decisions to the next.
+// dispatchState is what a leader keeps from one dispatch round to the next.
 type dispatchState struct {
 	dispatcher       *sched.Dispatcher
-	attemptCounter   uint64           // numbers those of this term
-	dispatchNeeded   bool             // something has changed that a round may use
-	budgetOverruns   int              // rounds that ran out of budget
-	viewBuffer       []*sched.Machine // buffer of a round
+	attemptCounter   uint64           // numbers the attempts of this term
+	dispatchNeeded   bool             // something has changed that may allow a placement
+	budgetOverruns   int              // rounds that exhausted their time budget
+	viewBuffer       []*sched.Machine // reused by each round
 	placementsByPath map[sched.Path]int
-	teamUsage        map[string]sched.Resources // what each team's tasks take
-	nextRoundAt      time.Duration              // no round of decisions before
-	nextTimedRoundAt time.Duration              // a round for time's sake alone; not before
+	teamUsage        map[string]sched.Resources // of all bound tasks, by team
+	nextRoundAt      time.Duration              // no round before this time
+	nextTimedRoundAt time.Duration              // no round before this time if nothing has changed
 	nextDrainAt      time.Duration
 	nextCountsAt     time.Duration
 }
 
-// hasWaitingTasks says whether any job wants a machine.
+// hasWaitingTasks reports whether any job has tasks without a machine.
 func (s *State) hasWaitingTasks() bool {
 	for _, j := range s.active {
 		if j.waitingTasks() > 0 {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// isSchedulable says whether tasks of j may start now.
+// isSchedulable reports whether tasks of j may start now.
 func (s *State) isSchedulable(j *job) bool {
 	if s.now < j.retryAt {
 		return false
@@ -41,9 +41,9 @@
 	if s.takeoverComplete || j.arrival > s.electedRevision {
 		return true
 	}
-	// A task of an older job that no machine has shown may still be
-	// somewhere, until every machine of the roster that may have been given
-	// it is accounted for.
+	// A task of a job from before this term may still be on a machine that hasn't
+	// reported all its tasks in this term. No task of the job may start until every
+	// registered machine that may have been given one is accounted for.
 	for _, m := range s.unaccountedFor {
 		if s.isUnaccounted(m) && j.AllowsType(m.typeName) && (j.Zone == "" || j.Zone == m.zone) && (j.Spot || !m.spot) {
 			return false
@@ -52,7 +52,8 @@
 	return true
 }
 
-// dispatch makes a round of decisions and sends what it decided.
+// dispatch runs a dispatch round, answers the reports that waited for it, and sends
+// orders to the machines that it changed.
 func (s *State) dispatch() {
 	s.dispatchNeeded = false
 	env := &roundEnv{s: s, elapsed: func() time.Duration { return 0 }}
@@ -63,13 +64,13 @@
 	if len(queue) > 0 {
 		s.runRound(queue, env)
 	}
-	// A round that took long is followed by as much time for everything else:
-	// reports and renewals must not starve behind decisions.
+	// A round that took long is followed by at least as much time without one, so
+	// that reports and renewals don't starve.
 	s.nextRoundAt = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
 	s.answerReports()
 	for _, m := range env.changedMachines {
 		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
-			break // the rest with the next reports and ticks: sockets are few
+			break // sockets are limited; the rest is sent with later reports and ticks
 		}
 		if !m.commandInFlight && s.now >= m.nextCommandAt && m.reconciled && m.endpoint != "" {
 			s.sendUnsentOrders(m)
@@ -77,11 +78,12 @@
 	}
 }
 
-// roundsPerReport is how many rounds of decisions at most there are in a
-// worker's report interval.
+// roundsPerReport is the highest number of dispatch rounds in a worker's report
+// interval.
 const roundsPerReport = 24
 
-// runRound runs the dispatch rule and what follows it for the jobs that wait.
+// runRound runs the dispatch rule for the jobs in queue, then preempts and drains
+// machines for those that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
@@ -93,12 +95,12 @@
 			s.refreshView(m)
 			env.views = append(env.views, &m.view)
 		} else if len(m.view.LocalQueue) > 0 {
-			m.view.LocalQueue = nil // back to the global queue
+			m.view.LocalQueue = nil // its tasks return to the global queue
 		}
 	}
 	s.viewBuffer = env.views
-	// Local queues hold tasks that are not in the global count; drop entries
-	// of jobs that no longer want them.
+	// Tasks in a local queue don't count in the global queue. Entries of jobs that
+	// have no waiting task for them are dropped.
 	for _, v := range env.views {
 		if len(v.LocalQueue) == 0 {
 			continue
@@ -112,17 +114,17 @@
 		}
 		v.LocalQueue = kept
 	}
-	held := s.preemptForHits(queue, env)
-	whole := s.dispatcher.RunRound(s.now, entries, env.views, env)
-	for j, n := range held {
+	heldBack := s.preemptForHits(queue, env)
+	complete := s.dispatcher.RunRound(s.now, entries, env.views, env)
+	for j, n := range heldBack {
 		j.queueEntry.Waiting += n
 	}
-	if !whole {
-		s.dispatchNeeded = true // goes on where it stopped
+	if !complete {
+		s.dispatchNeeded = true // the next round continues where this one stopped
 		if s.budgetOverruns++; s.budgetOverruns%4 != 0 {
 			return
 		}
-		// Now and then what follows the rule gets its turn all the same.
+		// Every fourth time preemption and draining run all the same.
 	}
 	s.preemptForQueue(queue, env)
 	if s.now >= s.nextDrainAt {
@@ -131,8 +133,8 @@
 	}
 }
 
-// buildQueue lists the jobs with waiting tasks, most urgent first and then by
-// arrival.
+// buildQueue lists the jobs with waiting tasks that may start, most urgent first and
+// then by arrival.
 func (s *State) buildQueue() []*job {
 	if !s.takeoverComplete {
 		s.unaccountedFor = s.unaccountedFor[:0]
@@ -164,8 +166,8 @@
 		}
 		j.queueEntry.Waiting = n
 		j.queueEntry.RestartMissesGoal = s.restartMissesGoal(j)
-		// By then machines that were rented for it would be there. Kept free from
-		// the start, they cost other gangs their starts in time.
+		// Machines rented for the gang would be up by this age. Machines kept free for
+		// it from the start made other gangs miss their start goals.
 		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBoot()
 		j.queueEntry.Rank = queueRank(j)
 		if s.isStarved(j) {
@@ -183,34 +185,36 @@
 	return queue
 }
 
-// restartMissesGoal says whether a task of j that has to begin anew halfway would miss
-// what its class expects.
+// restartMissesGoal reports whether a task of j that has to restart halfway through
+// its run would miss the goal of its class.
 func (s *State) restartMissesGoal(j *job) bool {
 	if j.Kind != model.KindBatch || j.CheckpointEveryS > 0 || s.cfg.Goals[j.Class] == (Goal{}) {
 		return false
 	}
-	// Estimates are often too low.
+	// Run times often exceed the estimate.
 	return s.jobAge(j)+time.Duration(2.5*j.EstimateS*float64(time.Second)) > s.completionTarget(j)
 }
 
-// maxFirstStartDelay is in what time every job must have begun (PROTOCOL, as the
-// operators added to it).
+// maxFirstStartDelay is the time in which the first task of every job must have
+// started (PROTOCOL, in the part that the operators added).
 const maxFirstStartDelay = 4 * time.Minute
 
-// isStarved says whether j has waited for a third of that without any of its
-// tasks having begun. One task then goes before everything else: with more
-// urgent work than machines, a class would otherwise never be served at all.
+// isStarved reports whether j has waited for a third of maxFirstStartDelay without
+// any of its tasks having started. One task of it then goes ahead of everything else.
+// Otherwise a class would never be served while there is more urgent work than
+// machines.
 func (s *State) isStarved(j *job) bool {
 	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
 
-// queueRank is a job's place ahead of the order of arrival: only prod work
-// goes ahead; among the rest the design's one queue by arrival holds.
+// queueRank returns the rank by which j goes ahead of earlier jobs; jobs of the same
+// rank are served by arrival.
 func queueRank(j *job) int {
 	return j.rank
 }
 
-// sendRunningCounts tells the peers how many tasks run, for display.
+// sendRunningCounts sends the peers the number of running tasks of each job, which
+// they show to users.
 func (s *State) sendRunningCounts() {
 	if s.now < s.nextCountsAt {
 		return
@@ -219,7 +223,7 @@
 	counts := make(map[string]int, len(s.active))
 	for id, j := range s.active {
 		if len(counts) >= 1000 {
-			break // for display only; a frame between controllers is bounded
+			break // the size of a message between controllers is limited
 		}
 		counts[id] = j.countRunning()
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -10,11 +10,11 @@
 	"mulleinfall/internal/sched"
 )
 
-// jobValue is a job in the state service. Once a job is over, its spec is
-// dropped: only the outcome must be kept for ever.
+// jobValue is a job in the state service. When a job becomes final, its spec is
+// removed: only the outcome is kept for ever.
 type jobValue struct {
 	Spec        *model.Job `json:"spec,omitempty"`
-	SubmittedAt int64      `json:"at,omitempty"` // submission, ms of the day's clock
+	SubmittedAt int64      `json:"at,omitempty"` // wall clock, ms
 	Phase       string     `json:"phase,omitempty"`
 	Tasks       int        `json:"tasks,omitempty"`
 }
@@ -22,41 +22,42 @@
 // job is a row of the job table.
 type job struct {
 	model.Job
-	phase       string // "" while active
-	arrival     uint64 // revision of its acceptance: the order of the queue
-	submittedAt int64  // time of day of its submission, ms
+	phase       string // "" until the job is done or cancelled
+	arrival     uint64 // revision at which it was accepted; gives the order of the queue
+	submittedAt int64  // wall clock, ms
 	rank        int
 
-	doneBits    []uint64
+	doneBits    []uint64 // bitmap of the finished tasks
 	doneCount   int
 	chunks      map[int]*chunk
-	finalSeenAt time.Duration // when it was seen to be over
-	writingDone bool          // the write of "done" is under way
+	finalSeenAt time.Duration // when this controller learnt that the job is final
+	writingDone bool          // the write of phase "done" is under way
 
-	reportedRunning int // as the leader last told, for display
+	reportedRunning int // running tasks as last received from the leader, for display
 
-	// The leader's part.
-	tasks             map[int]*task  // bound to a machine, or may still be there
-	tasksByZone       map[string]int // how many of them in each zone
-	nextIndex         int            // tasks from here on never started in this term
-	retryIndexes      []int          // tasks to start again
+	// The fields below are kept by the leader, for the current term.
+	tasks             map[int]*task  // bound to a machine, where they run or may still run
+	tasksByZone       map[string]int // number of tasks in each zone
+	nextIndex         int            // tasks from this index on haven't been started in this term
+	retryIndexes      []int          // tasks that have to be started again
 	queueEntry        *sched.Job
-	runTimes          []time.Duration // what its finished tasks took, as this leader saw, in order
-	lastTaskLostAt    time.Duration   // when a task last had to start again
+	runTimes          []time.Duration // of its tasks that finished in this term, sorted
+	lastTaskLostAt    time.Duration   // when a task was last requeued
 	gang              gangStatus
-	consecutiveErrors int // exits with "error" in a row
-	retryAt           time.Duration
+	consecutiveErrors int           // tasks that exited with cause "error" in a row
+	retryAt           time.Duration // no task starts before this time
 }
 
-// need is what each task takes of its machine.
+// need returns what each task takes of its machine.
 func (j *job) need() sched.Resources {
 	return sched.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 }
 
-// quotaShare is what each task takes of its team's guarantee and limit, which are
+// quotaShare returns what each task takes of its team's guarantee and limit, which are
 // given in CPUs and GPUs.
 func (j *job) quotaShare() sched.Resources { return sched.Resources{CPUs: j.CPUs, GPUs: j.GPUs} }
 
+// isFinal reports whether the job is done or cancelled.
 func (j *job) isFinal() bool { return j.phase != "" }
 
 func (j *job) isDone(i int) bool { return j.doneBits[i/64]&(1<<(i%64)) != 0 }
@@ -71,6 +72,7 @@
 	return n
 }
 
+// resetTerm clears what the leader of the previous term kept about the job.
 func (j *job) resetTerm() {
 	j.tasks, j.tasksByZone = map[int]*task{}, map[string]int{}
 	j.nextIndex, j.retryIndexes, j.consecutiveErrors, j.retryAt, j.lastTaskLostAt = 0, nil, 0, 0, 0
@@ -78,12 +80,13 @@
 	j.writingDone = false
 }
 
-// waitingTasks is how many tasks want a machine.
+// waitingTasks returns how many tasks have no machine yet.
 func (j *job) waitingTasks() int {
 	return max(0, j.Tasks-j.doneCount-len(j.tasks))
 }
 
-// takeWaitingTask hands out a task that wants a machine.
+// takeWaitingTask returns the index of the next task that needs a machine, and
+// removes it from the tasks to start.
 func (j *job) takeWaitingTask() (int, bool) {
 	for len(j.retryIndexes) > 0 {
 		i := j.retryIndexes[0]
@@ -102,23 +105,23 @@
 	return 0, false
 }
 
-// applyJobKey takes a job's key.
-func (s *State) applyJobKey(id string, it Item) {
-	if it.Removed {
-		return // never done by us: jobs are kept for ever
+// applyJobKey applies a change of a job's key in the state service.
+func (s *State) applyJobKey(id string, item Item) {
+	if item.Removed {
+		return // controllers never remove the key of a job
 	}
-	var v jobValue
-	if err := json.Unmarshal(it.Value, &v); err != nil {
-		s.log(slog.LevelError, "unreadable job", "job", id, "error", err.Error())
+	var value jobValue
+	if err := json.Unmarshal(item.Value, &value); err != nil {
+		s.log(slog.LevelError, "job value is not readable", "job", id, "error", err.Error())
 		return
 	}
 	j := s.jobs[id]
 	if j == nil {
-		j = &job{Job: model.Job{ID: id, Tasks: v.Tasks}, tasks: map[int]*task{}, tasksByZone: map[string]int{}}
+		j = &job{Job: model.Job{ID: id, Tasks: value.Tasks}, tasks: map[int]*task{}, tasksByZone: map[string]int{}}
 		s.jobs[id] = j
-		if v.Spec != nil {
-			j.Job = *v.Spec
-			j.arrival, j.submittedAt, j.rank = it.ModRevision, v.SubmittedAt, model.PriorityRank(j.Priority)
+		if value.Spec != nil {
+			j.Job = *value.Spec
+			j.arrival, j.submittedAt, j.rank = item.ModRevision, value.SubmittedAt, model.PriorityRank(j.Priority)
 			j.doneBits = make([]uint64, (j.Tasks+63)/64)
 			j.chunks = map[int]*chunk{}
 			s.active[id] = j
@@ -126,15 +129,15 @@
 		}
 	}
 	s.dispatchNeeded = true
-	if v.Phase != "" && j.phase == "" {
-		j.phase, j.finalSeenAt = v.Phase, s.now
+	if value.Phase != "" && j.phase == "" {
+		j.phase, j.finalSeenAt = value.Phase, s.now
 		delete(s.active, id)
-		s.log(slog.LevelInfo, "job over", "job", id, "phase", v.Phase)
-		if v.Phase == model.PhaseAborted && it.ModRevision > s.termModRevision {
-			s.unacknowledged[id] = it.ModRevision
+		s.log(slog.LevelInfo, "job finished", "job", id, "phase", value.Phase)
+		if value.Phase == model.PhaseAborted && item.ModRevision > s.termModRevision {
+			s.unacknowledged[id] = item.ModRevision
 		}
-		if v.Phase == model.PhaseAborted {
-			s.logCancellationLearnt(j, it.ModRevision)
+		if value.Phase == model.PhaseAborted {
+			s.logCancellationLearnt(j, item.ModRevision)
 		}
 		if s.leadership != nil && s.electedAt != 0 {
 			s.stopJob(j)
@@ -143,7 +146,7 @@
 	}
 }
 
-// stopJob rids the machines of a job that was withdrawn.
+// stopJob stops the tasks of a final job and removes it from all local queues.
 func (s *State) stopJob(j *job) {
 	for _, t := range j.tasks {
 		s.stopTask(t, 0)
@@ -162,38 +165,38 @@
 	}
 }
 
-// markTaskDone notes that a task has completed, whoever reports it and however
-// late.
-func (s *State) markTaskDone(j *job, i int) {
-	if j.isFinal() || i >= j.Tasks || j.isDone(i) {
+// markTaskDone records that a task has completed. The report may come from any
+// machine and at any time.
+func (s *State) markTaskDone(j *job, index int) {
+	if j.isFinal() || index >= j.Tasks || j.isDone(index) {
 		return
 	}
-	j.setDone(i)
+	j.setDone(index)
 	s.dispatchNeeded = true
 	if j.Kind == model.KindGang {
-		// They complete together: if one is done, all are. The others' own words
-		// may never come, where their machines are out of reach.
+		// A gang's tasks complete together, so if one is done, all are. The reports of
+		// the others may never arrive if their machines can't reach the controllers.
 		for k := range j.Tasks {
 			if !j.isDone(k) {
 				j.setDone(k)
 			}
 		}
-	} else if t := j.tasks[i]; t != nil {
-		s.stopTask(t, 0) // its result is kept: another attempt is wasted
+	} else if t := j.tasks[index]; t != nil {
+		s.stopTask(t, 0) // the result is kept, so another attempt is of no use
 	}
 	if j.doneCount == j.Tasks {
 		s.finishJob(j)
 	}
 }
 
-func (j *job) setDone(i int) {
-	j.doneBits[i/64] |= 1 << (i % 64)
+func (j *job) setDone(index int) {
+	j.doneBits[index/64] |= 1 << (index % 64)
 	j.doneCount++
-	j.chunk(i / chunkTasks).dirty = true
+	j.chunk(index / chunkTasks).dirty = true
 }
 
-// finishJob makes "done" durable. Against a withdrawal the guard on the key
-// decides.
+// finishJob writes phase "done" to the state service. If the job is cancelled at the
+// same time, the precondition on the key decides which of the two holds.
 func (s *State) finishJob(j *job) {
 	if j.writingDone || !s.IsLeader() {
 		return
@@ -201,19 +204,19 @@
 	j.writingDone = true
 	key := prefixJobs + j.ID
 	value := mustMarshal(jobValue{Phase: model.PhaseDone, Tasks: j.Tasks})
-	var extra []Change
+	var removals []Change
 	for _, n := range sortedKeys(j.chunks) {
-		k := prefixProgress + j.ID + "/" + strconv.Itoa(n)
-		for part := 0; s.modRevision(k) != 0 && len(extra) < s.cfg.MaxTxnOps-1; part++ {
-			extra = append(extra, Change{Key: k, Remove: true})
-			k = prefixProgress + j.ID + "/" + strconv.Itoa(n) + "." + strconv.Itoa(part+1)
+		progressKey := prefixProgress + j.ID + "/" + strconv.Itoa(n)
+		for part := 0; s.modRevision(progressKey) != 0 && len(removals) < s.cfg.MaxTxnOps-1; part++ {
+			removals = append(removals, Change{Key: progressKey, Remove: true})
+			progressKey = prefixProgress + j.ID + "/" + strconv.Itoa(n) + "." + strconv.Itoa(part+1)
 		}
 	}
 	s.queueWrite(&write{
-		change: Change{Key: key, Value: value}, leaderTerm: s.leadership.Term, deadline: s.now + time.Hour, alsoRemove: extra, class: classJobEnd,
-		done: func(r outcome) {
+		change: Change{Key: key, Value: value}, leaderTerm: s.leadership.Term, deadline: s.now + time.Hour, alsoRemove: removals, class: classJobEnd,
+		done: func(result outcome) {
 			j.writingDone = false
-			if r == written {
+			if result == written {
 				s.notifyPeers(key, value)
 			}
 		},
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -7,35 +7,35 @@
 	"mulleinfall/internal/model"
 )
 
-// Tasks: bound to a machine before they are started, unbound once that is
-// surely over.
+// Tasks: a task is bound to a machine before it is started, and unbound once it
+// certainly doesn't run there any more.
 
-// task is a task that is bound to a machine: it is there, or it may be. It is
-// unbound only when that machine shows that the attempt is over or never
-// began, or when the machine's lease has surely run out, or when the cloud
-// has confirmed that the machine is gone.
+// task is a task that is bound to a machine: it runs there, or it may. It is unbound
+// only when the machine reports that the attempt has ended or never started, when the
+// machine's lease has certainly expired, or when the cloud has confirmed that the
+// machine is gone.
 type task struct {
 	job     *job
 	index   int
 	name    string
 	attempt uint64
 	machine *machine
-	session uint64 // of the worker, at the time of binding
-	zone    string // of the machine, at the time of binding
+	session uint64 // session of the worker when the task was bound
+	zone    string // zone of the machine when the task was bound
 
-	startSent             bool   // a start has been sent
-	startSentSeq          uint64 // report in whose answer it was last sent
-	unconfirmedStartEpoch uint64 // epoch of a direct start without a known outcome
+	startSent             bool   // a start order has been sent
+	startSentSeq          uint64 // number of the report in whose answer it was last sent
+	unconfirmedStartEpoch uint64 // epoch of a start by direct command whose outcome is unknown
 
 	state           string        // as last reported
-	runningSince    time.Duration // running since
-	inherited       bool          // begun before this leader saw it
-	stopping        bool
-	graceS          float64
-	stopRequestedAt time.Duration // when it was told to stop
+	runningSince    time.Duration // when it was first reported running
+	inherited       bool          // started before this leader saw it
+	stopping        bool          // it is to be stopped
+	graceS          float64       // time that it has for a checkpoint
+	stopRequestedAt time.Duration // when the stop was decided; 0 once a direct command has carried it
 }
 
-// bind puts a task into the tables of its job, machine and team.
+// bind adds a task to the tables of its job, machine and team.
 func (s *State) bind(t *task) {
 	t.zone = t.machine.zone
 	t.job.tasks[t.index], t.machine.tasks[t.name] = t, t
@@ -44,7 +44,7 @@
 	t.machine.viewStale, t.machine.hasUnsentOrders = true, true
 }
 
-// removeFromTables takes it out of them.
+// removeFromTables removes a task from the tables of its job, machine and team.
 func (s *State) removeFromTables(t *task) {
 	if t.machine.tasks[t.name] != t {
 		return
@@ -58,7 +58,7 @@
 	t.machine.viewStale = true
 }
 
-// unbind frees a task from its machine; if it isn't done it waits again.
+// unbind removes a task from its machine. If it isn't done, it is requeued.
 func (s *State) unbind(t *task, why string) {
 	s.removeFromTables(t)
 	s.dropUnusedFetch(t)
@@ -72,16 +72,16 @@
 		}
 		t.job.retryIndexes = append(t.job.retryIndexes, t.index)
 		t.job.lastTaskLostAt = s.now
-		s.log(slog.LevelDebug, "task waits again", "task", t.name, "attempt", t.attempt, "host", t.machine.host, "why", why, "term", s.leadership.Term)
+		s.log(slog.LevelDebug, "task requeued", "task", t.name, "attempt", t.attempt, "host", t.machine.host, "why", why, "term", s.leadership.Term)
 	}
 }
 
-// dropUnusedFetch drops the model's fetch when no task waits for the image any more:
-// the worker gives it up then too.
+// dropUnusedFetch removes a fetch from the machine's view when no task waits for the
+// image any more: the worker then aborts the fetch too.
 func (s *State) dropUnusedFetch(t *task) {
 	v := &t.machine.view
-	for _, o := range t.machine.tasks {
-		if o.job.Image == t.job.Image && o.state != model.TaskRunning {
+	for _, other := range t.machine.tasks {
+		if other.job.Image == t.job.Image && other.state != model.TaskRunning {
 			return
 		}
 	}
@@ -94,23 +94,25 @@
 	v.Fetching = kept
 }
 
-// stopTask has a task stopped; grace 0 means at once. A gang is stopped as a whole,
-// by one decision: told one after the other, its tasks could not save together.
-func (s *State) stopTask(t *task, grace float64) {
-	s.markStopping(t, grace)
+// stopTask requests a stop of a task; grace 0 means at once. A gang is stopped as a
+// whole: if its tasks were stopped one after another, they could not save a checkpoint
+// together.
+func (s *State) stopTask(t *task, graceS float64) {
+	s.markStopping(t, graceS)
 	if t.job.Kind == model.KindGang && !t.job.isFinal() {
-		s.abortGang(t.job, grace)
+		s.abortGang(t.job, graceS)
 	}
 }
 
-func (s *State) markStopping(t *task, grace float64) {
-	if !t.stopping || grace < t.graceS {
-		t.stopping, t.graceS, t.stopRequestedAt = true, grace, s.now
+// markStopping marks a single task to be stopped, or shortens its grace time.
+func (s *State) markStopping(t *task, graceS float64) {
+	if !t.stopping || graceS < t.graceS {
+		t.stopping, t.graceS, t.stopRequestedAt = true, graceS, s.now
 		t.machine.viewStale, t.machine.hasUnsentOrders = true, true
 	}
 }
 
-// stopBeforeReclaim clears machines that the cloud is about to take.
+// stopBeforeReclaim stops the tasks on machines that the cloud is about to reclaim.
 func (s *State) stopBeforeReclaim() {
 	for _, m := range s.machinesByName {
 		if m.reclaimAt == 0 || !m.reconciled {
@@ -118,8 +120,8 @@
 		}
 		for _, t := range m.tasks {
 			if !t.stopping && s.runsBeyond(t, m.reclaimAt) {
-				// Its work is lost in any case: begun anew now rather than when
-				// the machine goes.
+				// Its work is lost in any case. It is restarted now rather than when the
+				// machine goes.
 				s.stopTask(t, 0)
 				continue
 			}
@@ -131,7 +133,7 @@
 	}
 }
 
-// runsBeyond says whether t, which can't save, will surely run beyond at.
+// runsBeyond reports whether t, which saves no checkpoints, will certainly run beyond at.
 func (s *State) runsBeyond(t *task, at time.Duration) bool {
 	if t.job.Kind != model.KindBatch || t.job.CheckpointEveryS > 0 {
 		return false
@@ -139,6 +141,6 @@
 	if t.state != model.TaskRunning || t.runningSince == 0 {
 		return t.state != ""
 	}
-	e, _ := t.job.expectedRunTime()
-	return t.runningSince+e*3/4 > at
+	expected, _ := t.job.expectedRunTime()
+	return t.runningSince+expected*3/4 > at
 }
