--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// Finished tasks, kept as bitmaps in the state service.
+// Finished tasks are stored as bitmaps in the state service.
 
-// bitmapState paces the writes of bitmaps.
+// bitmapState limits how often bitmaps are written.
 type bitmapState struct {
 	nextBitmapCheckAt time.Duration
 }
 
-// bitmapValue is a part of a chunk in the state service: its bytes from From on.
+// bitmapValue is one part of a chunk in the state service.
 type bitmapValue struct {
-	Bits string `json:"b"`
-	From int    `json:"from,omitempty"`
+	Bits string `json:"b"`              // base64
+	From int    `json:"from,omitempty"` // index in the chunk of the part's first byte
 }
 
-// chunk is a slice of the finished-task bitmap with its own key, so that the
-// largest job fits the store's values.
+// chunk is a section of a job's bitmap of finished tasks. Each chunk has its own key, so
+// that the bitmap of the largest job fits the state service's limit on values.
 type chunk struct {
-	dirty        bool // bits not yet durable
+	dirty        bool // some bits are not yet stored
 	writing      bool
-	pendingParts int           // writes of its parts under way
-	lastWriteAt  time.Duration // last write
-	durableBits  []uint64
+	pendingParts int           // parts whose write is under way
+	lastWriteAt  time.Duration // when a write was last started
+	durableBits  []uint64      // bits that are known to be stored
 }
 
 const (
@@ -38,49 +38,52 @@
 	chunkWords = chunkTasks / 64
 )
 
-// applyBitmapKey merges finished tasks from the state service.
-func (s *State) applyBitmapKey(name string, it Item) {
+// applyBitmapKey merges finished tasks from a stored part of a chunk. The key ends in
+// the number of the chunk and, but for the first part, a dot and the number of the part.
+func (s *State) applyBitmapKey(name string, item Item) {
 	id, at, ok := strings.Cut(name, "/")
 	j := s.jobs[id]
-	first, _, _ := strings.Cut(at, ".") // the slices of a chunk differ behind the dot
-	n, err := strconv.Atoi(first)
+	first, _, _ := strings.Cut(at, ".")
+	number, err := strconv.Atoi(first)
 	if !ok || err != nil || j == nil || j.isFinal() {
 		return
 	}
-	var v bitmapValue
-	if json.Unmarshal(it.Value, &v) != nil || v.From < 0 {
+	var value bitmapValue
+	if json.Unmarshal(item.Value, &value) != nil || value.From < 0 {
 		return
 	}
-	b, err := base64.StdEncoding.DecodeString(v.Bits)
+	part, err := base64.StdEncoding.DecodeString(value.Bits)
 	if err != nil {
 		return
 	}
-	c := j.chunk(n)
-	for i := range b {
-		at := v.From + i
-		w := n*chunkWords + at/8
-		if w >= len(j.doneBits) || at/8 >= len(c.durableBits) {
+	target := j.chunk(number)
+	for i := range part {
+		at := value.From + i
+		wordIndex := number*chunkWords + at/8
+		if wordIndex >= len(j.doneBits) || at/8 >= len(target.durableBits) {
 			break
 		}
-		word := uint64(b[i]) << (8 * (at % 8))
-		c.durableBits[at/8] |= word
-		fresh := word &^ j.doneBits[w]
-		j.doneBits[w] |= word
-		j.doneCount += bits.OnesCount64(fresh)
+		word := uint64(part[i]) << (8 * (at % 8))
+		target.durableBits[at/8] |= word
+		newBits := word &^ j.doneBits[wordIndex]
+		j.doneBits[wordIndex] |= word
+		j.doneCount += bits.OnesCount64(newBits)
 	}
 }
 
+// chunk returns chunk n of the bitmap of finished tasks, and creates it if it is missing.
 func (j *job) chunk(n int) *chunk {
-	c := j.chunks[n]
-	if c == nil {
+	found := j.chunks[n]
+	if found == nil {
 		words := min(chunkWords, len(j.doneBits)-n*chunkWords)
-		c = &chunk{durableBits: make([]uint64, max(words, 0))}
-		j.chunks[n] = c
+		found = &chunk{durableBits: make([]uint64, max(words, 0))}
+		j.chunks[n] = found
 	}
-	return c
+	return found
 }
 
-// isDurable says whether a finished task is safe to forget.
+// isDurable reports whether the completion of task i is stored, so that a worker may
+// forget the task.
 func (j *job) isDurable(i int) bool {
 	if j.isFinal() {
 		return true
@@ -89,7 +92,8 @@
 	return c != nil && c.durableBits[(i%chunkTasks)/64]&(1<<(i%64)) != 0
 }
 
-// writeBitmaps writes what has finished, each job at most every few seconds.
+// writeBitmaps stores newly finished tasks. Each chunk is written at most once per
+// BitmapWriteInterval.
 func (s *State) writeBitmaps() {
 	if s.now < s.nextBitmapCheckAt {
 		return
@@ -111,35 +115,38 @@
 	}
 }
 
-func (s *State) writeChunk(j *job, n int, c *chunk) {
+// writeChunk stores a chunk, in several parts if it exceeds the limit on values.
+func (s *State) writeChunk(j *job, number int, c *chunk) {
 	c.dirty, c.writing, c.lastWriteAt = false, true, s.now
-	bits := append([]uint64(nil), j.doneBits[n*chunkWords:n*chunkWords+len(c.durableBits)]...)
-	b := make([]byte, 0, len(bits)*8)
-	for _, w := range bits {
+	words := append([]uint64(nil), j.doneBits[number*chunkWords:number*chunkWords+len(c.durableBits)]...)
+	encoded := make([]byte, 0, len(words)*8)
+	for _, w := range words {
 		for k := 0; k < 8; k++ {
-			b = append(b, byte(w>>(8*k)))
+			encoded = append(encoded, byte(w>>(8*k)))
 		}
 	}
-	for len(b) > 0 && b[len(b)-1] == 0 {
-		b = b[:len(b)-1]
+	for len(encoded) > 0 && encoded[len(encoded)-1] == 0 {
+		encoded = encoded[:len(encoded)-1]
 	}
-	// A value holds so many bytes; the first part has the form that all versions
-	// read, and the others are written once all know them. Until then what they
-	// would hold isn't durable, so that workers keep it.
-	most := (s.cfg.MaxValueBytes - 64) * 3 / 4
-	last := max(len(b)-1, 0) / most * most
+	// A value is limited to this many bytes. All versions can read the first part. The
+	// other parts are written only when all controllers can read them; until then what
+	// they would hold isn't durable, so workers keep it.
+	maxBytes := (s.cfg.MaxValueBytes - 64) * 3 / 4
+	last := max(len(encoded)-1, 0) / maxBytes * maxBytes
 	if s.clusterVersion < versionGangs && last > 0 {
-		if slices.ContainsFunc(c.durableBits[most/8:], func(w uint64) bool { return w != 0 }) {
+		if slices.ContainsFunc(c.durableBits[maxBytes/8:], func(w uint64) bool { return w != 0 }) {
 			c.dirty, c.writing = true, false
-			return // a larger value stands, and would lose what is beyond
+			return // the stored value is longer than that, and overwriting it would lose its end
 		}
 		last = 0
 	}
-	for from := last; from >= 0; from -= most { // the first last: what it sheds stands by then
-		part := b[from:min(from+most, len(b))]
-		key := prefixProgress + j.ID + "/" + strconv.Itoa(n)
+	// The first part is written last: if it gets shorter, the other parts already hold
+	// what it no longer holds.
+	for from := last; from >= 0; from -= maxBytes {
+		part := encoded[from:min(from+maxBytes, len(encoded))]
+		key := prefixProgress + j.ID + "/" + strconv.Itoa(number)
 		if from > 0 {
-			key += "." + strconv.Itoa(from/most)
+			key += "." + strconv.Itoa(from/maxBytes)
 		}
 		c.pendingParts++
 		s.queueWrite(&write{
@@ -147,12 +154,12 @@
 			leaderTerm: s.leadership.Term,
 			deadline:   s.now + time.Hour,
 			class:      classBitmap,
-			// Written after the job's end it would stay for ever.
+			// A bitmap written after the end of the job would stay for ever.
 			isObsolete: func() bool { return j.isFinal() || j.writingDone },
-			done: func(r outcome) {
+			done: func(result outcome) {
 				c.pendingParts--
 				c.writing = c.pendingParts > 0
-				if r != written {
+				if result != written {
 					c.dirty = true
 				}
 			},
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,35 +5,35 @@
 	"mulleinfall/internal/sched"
 )
 
-// drainDivisor is the part of all machines that may be kept from being refilled
-// at a time, besides one.
+// drainDivisor limits draining to one machine plus one in drainDivisor of all machines
+// at a time.
 const drainDivisor = 16
 
-// drainMachines keeps a few machines from being refilled bit by bit while jobs wait
-// whose tasks need more room than any machine has left: those that should have
-// that room first.
+// drainMachines keeps a few machines from being refilled while jobs wait whose tasks
+// need more capacity than any machine has free. It chooses the machines that should
+// have that capacity first.
 func (s *State) drainMachines(queue []*job, env *roundEnv) {
-	left := 1 + len(env.views)/drainDivisor
-	begun := s.continueDraining(env)
-	left -= len(begun)
+	remaining := 1 + len(env.views)/drainDivisor
+	draining := s.continueDraining(env)
+	remaining -= len(draining)
 	for _, j := range queue {
-		if left <= 0 || env.BudgetExhausted() {
+		if remaining <= 0 || env.BudgetExhausted() {
 			return
 		}
-		if begun[j] || !s.canDrainFor(j) {
+		if draining[j] || !s.canDrainFor(j) {
 			continue
 		}
 		if m := s.soonestFreeMachine(j, env); m != nil {
-			left--
+			remaining--
 			m.reservedFor, m.draining, m.reservedUntil = j, true, s.now+s.cfg.ReportInterval
 		}
 	}
 }
 
-// continueDraining goes on with the machines that are drained already, as long as
-// their job waits, and returns those jobs.
+// continueDraining keeps draining the machines that are being drained already while
+// their jobs wait. It returns these jobs.
 func (s *State) continueDraining(env *roundEnv) map[*job]bool {
-	begun := map[*job]bool{}
+	draining := map[*job]bool{}
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if !m.draining || m.reservedFor == nil {
@@ -41,32 +41,33 @@
 		}
 		switch j := m.reservedFor; {
 		case j.queueEntry == nil || j.queueEntry.Waiting == 0:
-			m.reservedFor = nil // placed elsewhere, or over
-		case s.now < m.reservedUntil && !begun[j] && v.Capacity.Fits(j.queueEntry.Need):
-			begun[j] = true // stay with it
+			m.reservedFor = nil // its tasks were placed elsewhere, or it is final
+		case s.now < m.reservedUntil && !draining[j] && v.Capacity.Fits(j.queueEntry.Need):
+			draining[j] = true // the same machine goes on
 			m.reservedUntil = s.now + s.cfg.ReportInterval
 		}
 	}
-	return begun
+	return draining
 }
 
-// canDrainFor says whether a machine may be drained for j: gangs have room
-// kept by the dispatch rule, and prod work stops other work.
+// canDrainFor reports whether a machine may be drained for j. For gangs the dispatch
+// rule reserves machines, and prod work preempts other work instead.
 func (s *State) canDrainFor(j *job) bool {
 	return j.queueEntry.Waiting > 0 && j.rank != model.PriorityRank(model.PriorityProd) && j.Kind != model.KindGang && s.isWithinLimit(j, 1)
 }
 
-// soonestFreeMachine is the machine that should have room for a task of j first, or nil.
+// soonestFreeMachine returns the machine that should have capacity for a task of j
+// first, or nil.
 func (s *State) soonestFreeMachine(j *job, env *roundEnv) *machine {
 	var best *machine
-	soonest := sched.Never
+	shortestWait := sched.Never
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if v.IsReserved() || !v.Capacity.Fits(j.queueEntry.Need) || !s.allowed(j, m) {
-			continue // a gang that is to have it must not be kept off again
+			continue // a machine reserved for a gang must stay open to it
 		}
-		if w := v.EstimateWait(s.now, j.queueEntry); w < soonest {
-			best, soonest = m, w
+		if w := v.EstimateWait(s.now, j.queueEntry); w < shortestWait {
+			best, shortestWait = m, w
 		}
 	}
 	return best
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -7,38 +7,39 @@
 	"mulleinfall/internal/model"
 )
 
-// A gang's tasks find each other by their attempt, start when the last of them
-// has its image, and are of no use one without the others.
+// Gangs: the tasks of a gang find each other by their attempt number. They start
+// when the last of them has its image, and a part of a gang is of no use.
 
-// gangState is what a leader knows of gangs besides each one.
+// gangState is what a leader keeps about gangs in general.
 type gangState struct {
-	nextGangCheckAt time.Duration         // attempts are looked through again; not before
-	recentGangs     map[string]recentGang // the largest lately, by class
+	nextGangCheckAt time.Duration         // no check for incomplete gangs before this time
+	recentGangs     map[string]recentGang // the largest recent gang of each class
 }
 
-// gangStatus is what a leader knows of the attempt that is on machines, or last was.
+// gangStatus is what a leader knows about a gang's current or most recent attempt.
 type gangStatus struct {
 	attempt        uint64
-	started        bool          // its tasks run, or ran: no other may take a lost one's place
-	gatheringSince time.Duration // when one of them was first seen to wait for the others; 0: none
-	aborting       bool          // it is being ended; the next attempt begins when all of it are gone
-	// excludedHosts are the machines on which a task of this attempt has ended: they
-	// would take another start of it for a repeat.
+	started        bool          // its tasks run or ran, so that a lost task can't be replaced
+	gatheringSince time.Duration // when one of its tasks was first seen waiting for the others; 0: never
+	aborting       bool          // it is being stopped; the next attempt starts when all its tasks are gone
+	// excludedHosts are the machines on which a task of this attempt has ended. They
+	// would take another start order for it for a duplicate.
 	excludedHosts map[string]bool
 
-	// Of a gang that waits: whether machines were rented for it since it last
-	// found that the cloud doesn't give enough, how often that was, and when they
-	// are rented for it again.
-	machinesRented   bool
-	rentPauses       int
-	nextRentalAt     time.Duration
-	nextPreemptionAt time.Duration // room is looked for by stopping others' work; not before
+	// When the cloud doesn't provide all machines that the gang needs, renting for it
+	// pauses until nextRentalAt. rentPauses counts the pauses, and machinesRented says
+	// whether any machine was rented for the gang since the last one.
+	machinesRented bool
+	rentPauses     int
+	nextRentalAt   time.Duration
+
+	nextPreemptionAt time.Duration // no preemption for the gang before this time
 }
 
-// isGangSchedulable says whether tasks of j may be placed now: all of them, or those
-// that are missing of a gang that still waits for them. While anything is left
-// of an attempt that began, or is being ended, a task started elsewhere could
-// run twice, or in another zone than the rest.
+// isGangSchedulable reports whether tasks of j may be placed now: either all of them,
+// or those that are missing while the others wait for them. If an attempt that has
+// started or is being aborted is not quite gone, a task placed now could run twice, or
+// in another zone than the rest.
 func (s *State) isGangSchedulable(j *job) bool {
 	if len(j.tasks) == 0 {
 		return true
@@ -46,31 +47,30 @@
 	return !j.gang.aborting && !j.gang.started && s.canCompleteGang(j)
 }
 
-// canCompleteGang says whether a gang that waits can still be completed: a task
-// that takes a lost one's place must have its image before the first of the
-// others gives up.
+// canCompleteGang reports whether a gang whose tasks wait can still be completed: a
+// replacement must have its image before the first of the waiting tasks gives up.
 func (s *State) canCompleteGang(j *job) bool {
 	return j.gang.gatheringSince == 0 || s.now+s.maxFetchTime(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
 }
 
-// abortGang ends an attempt: all its tasks are stopped by one decision.
-func (s *State) abortGang(j *job, grace float64) {
+// abortGang stops all tasks of an attempt by a single decision.
+func (s *State) abortGang(j *job, graceS float64) {
 	if !j.gang.aborting {
-		s.log(slog.LevelDebug, "gang stopped", "job", j.ID, "attempt", j.gang.attempt, "grace_s", grace, "term", s.leadership.Term)
+		s.log(slog.LevelDebug, "gang stopped", "job", j.ID, "attempt", j.gang.attempt, "grace_s", graceS, "term", s.leadership.Term)
 	}
 	j.gang.aborting = true
 	for _, t := range j.tasks {
-		s.markStopping(t, grace)
+		s.markStopping(t, graceS)
 	}
 }
 
-// handleLostGangTask takes that t of a gang is gone.
+// handleLostGangTask reacts to the loss of a gang's task.
 func (s *State) handleLostGangTask(t *task, why string) {
 	g := &t.job.gang
 	switch {
 	case g.aborting:
 	case g.started, why == model.CausePeerLost, why == model.CauseGangIncomplete:
-		// Nothing that the others still do counts: at once they make room.
+		// What the others still do is useless, so they free their machines at once.
 		s.abortGang(t.job, 0)
 	case t.attempt == g.attempt:
 		if g.excludedHosts == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyGangReport takes what a report shows of a gang's task.
+// applyGangReport applies the reported state of a gang's task.
 func (s *State) applyGangReport(j *job, p model.TaskReport) {
 	switch p.State {
 	case model.TaskGathering:
@@ -92,8 +92,9 @@
 	}
 }
 
-// adoptGangTask takes over a task that a former leader began. Tasks of different
-// attempts never find each other.
+// adoptGangTask takes over a task that was started under a former leader. Tasks of
+// different attempts never find each other, so if there are several attempts, all are
+// stopped.
 func (s *State) adoptGangTask(t *task) {
 	j := t.job
 	if len(j.tasks) == 1 {
@@ -106,10 +107,10 @@
 	}
 }
 
-// abortIncompleteGangs ends attempts that can't be completed: one that lost a task after it
-// began, before this leader knew of it, or that found no place for a missing one
-// in the time for which the others wait. Kept waiting, two such gangs held
-// each other's room half filled.
+// abortIncompleteGangs stops attempts that can't be completed. Either a task was lost
+// after the start, before this leader knew of it, or no machine was found for a missing
+// task while the others waited. Two such gangs that kept waiting once blocked each
+// other, each with half of the capacity.
 func (s *State) abortIncompleteGangs() {
 	if s.now < s.nextGangCheckAt {
 		return
@@ -126,15 +127,15 @@
 	}
 }
 
-// recentGang is the largest gang of a class lately.
+// recentGang is the largest gang of a class that was recently seen.
 type recentGang struct {
 	job    *job
 	seenAt time.Duration
 }
 
-// spareGang is the gang for which room is kept free, or nil: the largest of the
-// classes that come now and should start sooner than a machine could be rented.
-// Its zone doesn't matter yet.
+// spareGang returns the gang for which spare capacity is kept, or nil. It is the
+// largest recent gang among the classes whose tasks should start sooner than a machine
+// could be rented. The zone of the original gang is ignored.
 func (s *State) spareGang() *job {
 	if s.cfg.SpareGangs == 0 || s.cfg.GangWaitTimeout == 0 {
 		return nil
@@ -145,21 +146,21 @@
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.Kind != model.KindGang || j.gang.rentPauses > 0 {
-			continue // not what can't be had even for a gang that waits
+			continue // the cloud doesn't even provide enough for a gang that waits
 		}
-		if g, ok := s.recentGangs[j.Class]; !ok || j.Tasks >= g.job.Tasks || s.now-g.seenAt > s.spareCapacityTimeout() {
+		if recent, ok := s.recentGangs[j.Class]; !ok || j.Tasks >= recent.job.Tasks || s.now-recent.seenAt > s.spareCapacityTimeout() {
 			s.recentGangs[j.Class] = recentGang{j, s.now}
 		}
 	}
 	var best *job
 	for _, class := range sortedKeys(s.recentGangs) {
-		g := s.recentGangs[class]
+		recent := s.recentGangs[class]
 		start := s.cfg.Goals[class].StartWithin
-		if s.now-g.seenAt > s.spareCapacityTimeout() || s.exceedsCloudCapacity(g.job) || start == 0 || start > s.shortestBoot()*3/2 {
+		if s.now-recent.seenAt > s.spareCapacityTimeout() || s.exceedsCloudCapacity(recent.job) || start == 0 || start > s.shortestBoot()*3/2 {
 			continue
 		}
-		if best == nil || float64(g.job.Tasks)*g.job.CPUs > float64(best.Tasks)*best.CPUs {
-			best = g.job
+		if best == nil || float64(recent.job.Tasks)*recent.job.CPUs > float64(best.Tasks)*best.CPUs {
+			best = recent.job
 		}
 	}
 	if best == nil {
@@ -170,14 +171,14 @@
 	return spare
 }
 
-// exceedsCloudCapacity says whether the cloud didn't give enough for a gang that still waits.
+// exceedsCloudCapacity reports whether j waits and the cloud didn't provide enough machines for it.
 func (s *State) exceedsCloudCapacity(j *job) bool { return !j.isFinal() && j.gang.rentPauses > 0 }
 
-// spareCapacityTimeout is for how long room is kept free after the last gang: machines that
-// then have nothing to do go back.
+// spareCapacityTimeout returns how long spare capacity is kept after the last gang.
+// After that, idle machines are returned.
 func (s *State) spareCapacityTimeout() time.Duration { return 2 * s.shortestBoot() }
 
-// gangTasksThatFit is for how many tasks of the spare gang m has room.
+// gangTasksThatFit returns how many tasks of the spare gang g fit on m now.
 func (s *State) gangTasksThatFit(m *machine, g *job) int {
 	if !s.isUsable(m) || m.spot && !g.Spot || !g.AllowsType(m.typeName) {
 		return 0
@@ -190,22 +191,22 @@
 	return n
 }
 
-// spareGangCapacity is the zone that has most room for the spare gang, and for how many
-// of its tasks.
+// spareGangCapacity returns the spare gang, the zone in which most of its tasks fit
+// now, and how many fit there.
 func (s *State) spareGangCapacity() (*job, string, int) {
-	g := s.spareGang()
-	if g == nil {
+	gang := s.spareGang()
+	if gang == nil {
 		return nil, "", 0
 	}
-	room := map[string]int{}
+	fitting := map[string]int{}
 	for _, m := range s.machinesByName {
-		room[m.zone] += s.gangTasksThatFit(m, g)
+		fitting[m.zone] += s.gangTasksThatFit(m, gang)
 	}
 	zone, most := "", 0
-	for _, z := range sortedKeys(room) {
-		if room[z] > most {
-			zone, most = z, room[z]
+	for _, candidate := range sortedKeys(fitting) {
+		if fitting[candidate] > most {
+			zone, most = candidate, fitting[candidate]
 		}
 	}
-	return g, zone, most
+	return gang, zone, most
 }
