--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -9,29 +9,29 @@
 	"mulleinfall/internal/sched"
 )
 
-// eviction chooses running tasks to stop so that waiting tasks of one job find
-// room. It only collects; nothing is stopped before commit.
+// eviction chooses running tasks to stop so that waiting tasks of one job fit. It only
+// collects them; commit stops them.
 type eviction struct {
 	s         *State
 	job       *job
-	teamUsage map[string]sched.Resources // by team, without the tasks chosen
-	// victims are the tasks that are to end: a gang's all together.
+	teamUsage map[string]sched.Resources // by team, without the victims
+	// victims are the tasks chosen to be stopped; of a gang always all tasks.
 	victims map[*task]bool
-	// placed counts, by machine, the tasks for which room was found so far.
+	// placed counts the tasks of the job that will fit on each machine so far.
 	placed map[*machine]int
-	// gangWithinGuarantee says, where room is made for a gang, whether all of it is within
-	// its team's guarantee: a part of a gang is of no use.
+	// gangWithinGuarantee says, if the job is a gang, whether all of it is within its
+	// team's guarantee. A part of a gang is of no use.
 	gangWithinGuarantee bool
 }
 
-// evictionOption is one machine, and what to stop there for one more task.
+// evictionOption is a machine and the tasks to stop there so that one more task fits.
 type evictionOption struct {
 	machine  *machine
 	victims  []*task
 	lostWork float64
 }
 
-// isWithinGuarantee says whether the job's next task is within its team's guarantee.
+// isWithinGuarantee reports whether the job's next task is within its team's guarantee.
 func (e *eviction) isWithinGuarantee() bool {
 	if e.job.Kind == model.KindGang {
 		return e.gangWithinGuarantee
@@ -39,10 +39,10 @@
 	return e.s.isWithinGuarantee(e.job, 1, e.teamUsage)
 }
 
-// cheapestOption picks the tasks on m whose end loses least and makes room for one
-// more task; false if stopping all that may be stopped isn't enough.
+// cheapestOption picks the tasks on m whose stop loses the least work and lets one more
+// task of the job fit. It returns false if stopping all that may be stopped isn't enough.
 func (e *eviction) cheapestOption(m *machine) (evictionOption, bool) {
-	c := evictionOption{machine: m}
+	option := evictionOption{machine: m}
 	need := e.job.need()
 	free := m.view.Free.Sub(need.Times(e.placed[m]))
 	var stoppable []*task
@@ -53,81 +53,81 @@
 			stoppable = append(stoppable, t)
 		}
 	}
-	free = e.pickVictims(&c, stoppable, free)
+	free = e.pickVictims(&option, stoppable, free)
 	if !m.view.Images.Has(e.job.Image) {
-		c.lostWork += e.job.ImageGB / m.view.FetchGBPerS * e.job.CPUs
+		option.lostWork += e.job.ImageGB / m.view.FetchGBPerS * e.job.CPUs
 	}
-	return c, free.Fits(need)
+	return option, free.Fits(need)
 }
 
-// pickVictims adds to c the tasks whose end loses least until one more task of
-// the job fits, and returns the room that there is then.
-func (e *eviction) pickVictims(c *evictionOption, stoppable []*task, free sched.Resources) sched.Resources {
+// pickVictims adds tasks to c, the least lost work first, until one more task of the job
+// fits. It returns the free resources after that.
+func (e *eviction) pickVictims(option *evictionOption, stoppable []*task, free sched.Resources) sched.Resources {
 	if len(stoppable) == 0 {
 		return free
 	}
 	slices.SortFunc(stoppable, e.s.compareLostWork)
-	ending := map[string]sched.Resources{} // what each team uses less by the victims so far
+	freed := map[string]sched.Resources{} // quota freed by the victims so far, by team
 	for _, t := range stoppable {
 		if free.Fits(e.job.need()) {
 			break
 		}
 		team := t.job.Team
-		if slices.ContainsFunc(c.victims, func(v *task) bool { return v.endsTogetherWith(t) }) {
+		if slices.ContainsFunc(option.victims, func(v *task) bool { return v.endsTogetherWith(t) }) {
 			free = free.Add(t.job.need())
 			continue
 		}
-		if !e.canStop(t, ending[team]) {
-			continue // the victims before use up what the team has beyond its guarantee
+		if !e.canStop(t, freed[team]) {
+			continue // with the victims so far, its team no longer exceeds its guarantee
 		}
-		ending[team] = ending[team].Add(e.freedQuota(t))
+		freed[team] = freed[team].Add(e.freedQuota(t))
 		free = free.Add(t.job.need())
-		// What has less time to make up for it counts for more.
-		c.lostWork += e.s.lostWork(t) * float64(1+model.PriorityRank(model.PriorityLow)-t.job.rank)
-		c.victims = append(c.victims, t)
+		// Lost work of more urgent jobs counts for more, since they have less time to redo it.
+		option.lostWork += e.s.lostWork(t) * float64(1+model.PriorityRank(model.PriorityLow)-t.job.rank)
+		option.victims = append(option.victims, t)
 	}
 	return free
 }
 
-// endsTogetherWith says whether stopping t ends o as well.
+// endsTogetherWith reports whether stopping t also ends o.
 func (t *task) endsTogetherWith(o *task) bool {
 	return t == o || t.job == o.job && t.job.Kind == model.KindGang
 }
 
-// compareLostWork orders tasks by what stopping them loses, the latest started first
-// among equals.
+// compareLostWork orders tasks by the work that stopping them loses. Among equals the
+// task that was started last comes first.
 func (s *State) compareLostWork(a, b *task) int {
 	return cmp.Or(cmp.Compare(s.lostWork(a), s.lostWork(b)), cmp.Compare(b.attempt, a.attempt), cmp.Compare(a.index, b.index))
 }
 
-// canStop says whether t may be stopped to make room for the job: it is less
-// urgent, or the job is within its team's guarantee and t is work that another
-// team runs beyond its own. ending is what that team uses less already.
-func (e *eviction) canStop(t *task, ending sched.Resources) bool {
+// canStop reports whether t may be stopped for the job. Either t is less urgent, or the
+// job is within its team's guarantee and t belongs to another team that exceeds its own
+// guarantee. ending is what stops of earlier victims free of that team's usage.
+func (e *eviction) canStop(t *task, freed sched.Resources) bool {
 	if t.stopping || t.job == e.job {
 		return false
 	}
 	if t.job.rank > e.job.rank {
-		// Else a job that is served once in a while, ahead of its turn, would
-		// never get beyond its first task.
+		// The first task of a starved job is stopped only for prod work. Otherwise such
+		// a job, which is served only now and then, would never get beyond that task.
 		return e.job.rank == model.PriorityRank(model.PriorityProd) || !e.s.isOnlyTaskOfStarvedJob(t)
 	}
 	if t.job.Team == e.job.Team || !e.isWithinGuarantee() {
 		return false
 	}
 	guarantee := e.s.cfg.Teams[t.job.Team].Guaranteed
-	left := e.teamUsage[t.job.Team].Sub(ending).Sub(e.freedQuota(t))
-	return left.CPUs > guarantee.CPUs-guaranteeTolerance && left.GPUs > guarantee.GPUs-guaranteeTolerance
+	remaining := e.teamUsage[t.job.Team].Sub(freed).Sub(e.freedQuota(t))
+	return remaining.CPUs > guarantee.CPUs-guaranteeTolerance && remaining.GPUs > guarantee.GPUs-guaranteeTolerance
 }
 
-// isOnlyTaskOfStarvedJob says whether t is all that runs of a job that has waited so long
-// that one of its tasks went before everything else.
+// isOnlyTaskOfStarvedJob reports whether t is the only running task of a job that was
+// starved, so that the task went ahead of everything else.
 func (s *State) isOnlyTaskOfStarvedJob(t *task) bool {
 	return len(t.job.tasks) == 1 && t.job.doneCount == 0 && s.jobAge(t.job) > maxFirstStartDelay/3
 }
 
-// canStopAll asks again once earlier choices have changed what a team is beyond
-// its guarantee.
+// canStopAll checks the victims again, since options chosen in the meantime may have
+// brought their team down to its guarantee.
 func (e *eviction) canStopAll(victims []*task) bool {
 	for _, t := range victims {
 		if !e.victims[t] && !e.canStop(t, sched.Resources{}) {
@@ -137,28 +137,28 @@
 	return true
 }
 
-// freedQuota is what the team uses less once t has been stopped: a gang ends as a
-// whole.
+// freedQuota returns by how much its team's usage falls when t is stopped. Stopping a
+// gang's task stops the whole gang.
 func (e *eviction) freedQuota(t *task) sched.Resources {
 	if t.job.Kind != model.KindGang {
 		return t.job.quotaShare()
 	}
-	var sum sched.Resources
+	var freed sched.Resources
 	for _, o := range t.job.tasks {
 		if !o.stopping && !e.victims[o] {
-			sum = sum.Add(o.job.quotaShare())
+			freed = freed.Add(o.job.quotaShare())
 		}
 	}
-	return sum
+	return freed
 }
 
-// choose adds a candidate to the choice.
-func (e *eviction) choose(c evictionOption) {
+// choose adds an option to the eviction.
+func (e *eviction) choose(option evictionOption) {
 	if e.placed == nil {
-		// Most rounds find nothing to stop: they allocate nothing here.
+		// Allocated only here, since most rounds choose nothing.
 		e.victims, e.placed = map[*task]bool{}, map[*machine]int{}
 	}
-	for _, t := range c.victims {
+	for _, t := range option.victims {
 		if e.victims[t] {
 			continue // ends with another task of its gang
 		}
@@ -172,68 +172,68 @@
 		}
 	}
 	e.teamUsage[e.job.Team] = e.teamUsage[e.job.Team].Add(e.job.quotaShare())
-	e.placed[c.machine]++
+	e.placed[option.machine]++
 }
 
-// commit stops the victims of a candidate and keeps the room for the job.
-func (e *eviction) commit(c evictionOption, env *roundEnv) {
+// commit stops the victims of an option and reserves the capacity for the job.
+func (e *eviction) commit(option evictionOption, env *roundEnv) {
 	s := e.s
-	for _, t := range c.victims {
-		s.log(slog.LevelInfo, "preempting", "task", t.name, "attempt", t.attempt, "host", c.machine.host, "for", e.job.ID, "term", s.leadership.Term)
+	for _, t := range option.victims {
+		s.log(slog.LevelInfo, "preempting", "task", t.name, "attempt", t.attempt, "host", option.machine.host, "for", e.job.ID, "term", s.leadership.Term)
 		s.stopTask(t, 0)
 	}
-	c.machine.reservedFor, c.machine.draining, c.machine.reservedUntil = e.job, false, s.now+s.cfg.Lease/2
-	env.markChanged(c.machine)
+	option.machine.reservedFor, option.machine.draining, option.machine.reservedUntil = e.job, false, s.now+s.cfg.Lease/2
+	env.markChanged(option.machine)
 }
 
-// lostWork is the work in CPU seconds that stopping t at once throws away.
+// lostWork returns the work in CPU seconds that is lost if t is stopped at once.
 func (s *State) lostWork(t *task) float64 {
 	if t.state != model.TaskRunning {
 		return 0
 	}
-	ran := (s.now - t.runningSince).Seconds()
-	if t.job.CheckpointEveryS > 0 && ran > t.job.CheckpointEveryS {
-		for ran > t.job.CheckpointEveryS {
-			ran -= t.job.CheckpointEveryS
+	unsavedS := (s.now - t.runningSince).Seconds()
+	if t.job.CheckpointEveryS > 0 && unsavedS > t.job.CheckpointEveryS {
+		for unsavedS > t.job.CheckpointEveryS {
+			unsavedS -= t.job.CheckpointEveryS
 		}
 	}
 	if t.job.Kind == model.KindGang {
-		ran *= float64(t.job.Tasks) // the others can't go on without it
+		unsavedS *= float64(t.job.Tasks) // the other tasks can't continue without it
 	}
-	return ran * t.job.CPUs
+	return unsavedS * t.job.CPUs
 }
 
-// preemptFor stops the least work, by what would be lost, that makes room for
-// n tasks of j, one on each machine that suits; it returns for how many.
-func (s *State) preemptFor(j *job, n int, suits func(*machine) bool, env *roundEnv, used map[string]sched.Resources) int {
-	e := &eviction{s: s, job: j, teamUsage: used}
-	zones := map[string]int{} // room being made, which counts for the spread
+// preemptFor makes capacity for up to n tasks of j, one on each machine for which suits
+// returns true, and loses as little work as possible. It returns for how many tasks.
+func (s *State) preemptFor(j *job, n int, suits func(*machine) bool, env *roundEnv, usage map[string]sched.Resources) int {
+	e := &eviction{s: s, job: j, teamUsage: usage}
+	reservedInZone := map[string]int{} // capacity being made for j in each zone, which counts for the spread
 	var options []evictionOption
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if s.isReservedFor(m, j) {
-			zones[m.zone]++
+			reservedInZone[m.zone]++
 		}
 		if m.reservedFor != nil && s.now < m.reservedUntil || !v.Capacity.Fits(j.queueEntry.Need) || !suits(m) || !s.allowed(j, m) {
 			continue
 		}
-		if c, ok := e.cheapestOption(m); ok {
-			options = append(options, c)
+		if option, ok := e.cheapestOption(m); ok {
+			options = append(options, option)
 		}
 	}
 	slices.SortFunc(options, compareOptions)
 	made := 0
-	for _, c := range options {
+	for _, option := range options {
 		if made >= n || !s.isWithinLimit(j, 1) {
 			break
 		}
-		if j.Spread && j.tasksByZone[c.machine.zone]+zones[c.machine.zone] >= j.MaxTasksPerZone() || !e.canStopAll(c.victims) {
+		if j.Spread && j.tasksByZone[option.machine.zone]+reservedInZone[option.machine.zone] >= j.MaxTasksPerZone() || !e.canStopAll(option.victims) {
 			continue
 		}
-		zones[c.machine.zone]++
+		reservedInZone[option.machine.zone]++
 		made++
-		e.choose(c)
-		e.commit(c, env)
+		e.choose(option)
+		e.commit(option, env)
 	}
 	return made
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -7,21 +7,21 @@
 	"mulleinfall/internal/sched"
 )
 
-// Making room: work that is stopped or kept off for more urgent work.
+// Preemption: work is stopped, or machines are reserved, for more urgent work.
 
-// preemptForQueue stops work of lower priority for prod work and for gangs that find no
-// room, and work that other teams run beyond their guarantee for a team within
-// its own.
+// preemptForQueue makes capacity for jobs that still wait: for prod work and gangs by
+// stopping work of lower priority, and for teams within their guarantee by stopping
+// work with which other teams exceed theirs.
 func (s *State) preemptForQueue(queue []*job, env *roundEnv) {
-	var used map[string]sched.Resources
+	var usage map[string]sched.Resources
 	for _, j := range queue {
 		if j.queueEntry.Waiting == 0 {
 			continue
 		}
-		if used == nil {
-			used = s.usageWithoutStopping()
+		if usage == nil {
+			usage = s.usageWithoutStopping()
 		}
-		if !s.canPreempt(j, used) {
+		if !s.canPreempt(j, usage) {
 			continue
 		}
 		if env.BudgetExhausted() {
@@ -29,23 +29,23 @@
 			return
 		}
 		if j.Kind == model.KindGang {
-			s.preemptForGang(j, env, used)
+			s.preemptForGang(j, env, usage)
 			continue
 		}
 		if n := j.queueEntry.Waiting - s.countReserved(j); n > 0 {
-			s.preemptFor(j, n, func(*machine) bool { return true }, env, used)
+			s.preemptFor(j, n, func(*machine) bool { return true }, env, usage)
 		}
 	}
 }
 
-// canPreempt says whether other work may be stopped for waiting tasks of j: it
-// is prod work, a gang, whose room would never come free all at once by itself,
-// or its next task is within its team's guarantee.
-func (s *State) canPreempt(j *job, used map[string]sched.Resources) bool {
-	return j.rank == model.PriorityRank(model.PriorityProd) || j.Kind == model.KindGang || s.isWithinGuarantee(j, 1, used)
+// canPreempt reports whether other work may be stopped for waiting tasks of j. It may
+// if j is prod work, if j is a gang, since its capacity would never come free all at
+// once, or if j's next task is within its team's guarantee.
+func (s *State) canPreempt(j *job, usage map[string]sched.Resources) bool {
+	return j.rank == model.PriorityRank(model.PriorityProd) || j.Kind == model.KindGang || s.isWithinGuarantee(j, 1, usage)
 }
 
-// countReserved counts the machines whose room is kept for j.
+// countReserved counts the machines that are reserved for j by preemption.
 func (s *State) countReserved(j *job) int {
 	n := 0
 	for _, m := range s.machinesByName {
@@ -56,32 +56,32 @@
 	return n
 }
 
-// isReservedFor says whether room that preemption makes on m is kept for j.
+// isReservedFor reports whether m is reserved for j by preemption.
 func (s *State) isReservedFor(m *machine, j *job) bool {
 	return m.reservedFor == j && !m.draining && s.now < m.reservedUntil
 }
 
-// preemptForHits makes room for prod work on machines that hold its image, where
-// fetching would take longer than its class has to start. The design compares
-// the wait at a holder with the fetch elsewhere: a holder whose lower work may
-// be stopped has next to no wait. It returns how many tasks of each job are
-// held back from the rule meanwhile.
+// preemptForHits makes capacity for prod work on machines that hold its image if
+// fetching the image would take longer than the start goal of its class allows. The
+// dispatch rule compares the wait for a machine that holds the image with a fetch
+// elsewhere, but preemption makes that wait short. preemptForHits returns how many tasks
+// of each job the dispatch rule must leave for that capacity.
 func (s *State) preemptForHits(queue []*job, env *roundEnv) map[*job]int {
-	held := map[*job]int{}
-	var used map[string]sched.Resources
+	heldBack := map[*job]int{}
+	var usage map[string]sched.Resources
 	for _, j := range queue {
 		if j.rank != model.PriorityRank(model.PriorityProd) || j.Kind == model.KindGang || !s.isFetchTooLong(j) {
 			continue
 		}
 		if env.BudgetExhausted() {
-			break // the rule has to have its turn as well
+			break // leave time for the dispatch rule
 		}
 		hits, pending := 0, 0
-		holds := func(m *machine) bool { return m.view.Images.Has(j.Image) }
+		holdsImage := func(m *machine) bool { return m.view.Images.Has(j.Image) }
 		for _, v := range env.views {
 			m := v.Ref.(*machine)
 			switch {
-			case !holds(m) || !s.allowed(j, m):
+			case !holdsImage(m) || !s.allowed(j, m):
 			case v.Free.Fits(j.queueEntry.Need):
 				hits++
 			case s.isReservedFor(m, j):
@@ -90,36 +90,35 @@
 		}
 		n := j.queueEntry.Waiting - hits - pending
 		if n > 0 {
-			if used == nil {
-				used = s.usageWithoutStopping()
+			if usage == nil {
+				usage = s.usageWithoutStopping()
 			}
-			pending += s.preemptFor(j, n, holds, env, used)
+			pending += s.preemptFor(j, n, holdsImage, env, usage)
 		}
-		if back := min(pending, j.queueEntry.Waiting); back > 0 {
-			held[j] = back
-			j.queueEntry.Waiting -= back
+		if held := min(pending, j.queueEntry.Waiting); held > 0 {
+			heldBack[j] = held
+			j.queueEntry.Waiting -= held
 		}
 	}
-	return held
+	return heldBack
 }
 
-// isFetchTooLong says whether j, which may still start in the time that its
-// class has, would miss it by fetching its image. A lost replica has that time
-// anew.
+// isFetchTooLong reports whether j can still reach the start goal of its class, but not
+// if it has to fetch its image. For a task that was lost the goal counts from then on.
 func (s *State) isFetchTooLong(j *job) bool {
 	goal := s.cfg.Goals[j.Class].StartWithin
-	left := goal - s.jobAge(j)
+	remaining := goal - s.jobAge(j)
 	if j.lastTaskLostAt != 0 {
-		left = max(left, j.lastTaskLostAt+goal-s.now)
+		remaining = max(remaining, j.lastTaskLostAt+goal-s.now)
 	}
-	if goal == 0 || left <= 0 {
+	if goal == 0 || remaining <= 0 {
 		return false
 	}
-	return s.maxFetchTime(j) > left
+	return s.maxFetchTime(j) > remaining
 }
 
-// maxFetchTime is how long a fetch of j's image may take where nothing else is
-// fetched: up to half as long again as its rate says.
+// maxFetchTime returns how long a fetch of j's image may take at most if nothing else is
+// fetched: a fetch may take half as long again as the rate says.
 func (s *State) maxFetchTime(j *job) time.Duration {
 	rate := 0.0
 	for i := range s.typeList {
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -9,12 +9,12 @@
 	"mulleinfall/internal/sched"
 )
 
-// compareOptions orders candidates by what would be lost.
+// compareOptions orders options by lost work, then by name of the machine.
 func compareOptions(a, b evictionOption) int {
 	return cmp.Or(cmp.Compare(a.lostWork, b.lostWork), strings.Compare(a.machine.host, b.machine.host))
 }
 
-// optionHeap has the candidate with the least loss in front.
+// optionHeap is a heap with the option that loses the least work first.
 type optionHeap []evictionOption
 
 func (h optionHeap) Len() int           { return len(h) }
@@ -27,32 +27,32 @@
 // Pop implements heap.Interface.
 func (h *optionHeap) Pop() any {
 	last := len(*h) - 1
-	c := (*h)[last]
+	option := (*h)[last]
 	*h = (*h)[:last]
-	return c
+	return option
 }
 
-// preemptionsPerReport is how often at most room is looked for, for one gang, in
-// a worker's report interval: between reports little changes.
+// preemptionsPerReport is how often capacity for a gang is searched for at most in a
+// worker's report interval: between reports little changes.
 const preemptionsPerReport = 6
 
-// gangEviction is a complete choice: with it all waiting tasks of a gang fit.
+// gangEviction is an eviction with which all waiting tasks of a gang fit.
 type gangEviction struct {
 	eviction
 	options  []evictionOption
 	lostWork float64
 }
 
-// preemptForGang stops other work so that all waiting tasks of a gang fit at
-// once. The machines and the victims on all of them are one decision: nothing is
-// stopped where the gang as a whole still wouldn't fit, and all the room, that
-// which is free already included, is kept until the gang takes it.
-func (s *State) preemptForGang(j *job, env *roundEnv, used map[string]sched.Resources) {
+// preemptForGang stops other work so that all waiting tasks of a gang fit at once. The
+// machines and their victims are chosen together: nothing is stopped if the whole gang
+// still wouldn't fit. All machines are reserved until the gang takes them, including
+// those with enough free capacity.
+func (s *State) preemptForGang(j *job, env *roundEnv, usage map[string]sched.Resources) {
 	n := j.queueEntry.Waiting
 	if s.now < j.gang.nextPreemptionAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
-	// Going over the fleet for each gang in each round would take the rounds' time.
+	// Searching the fleet for each gang in each round would take too much of the rounds' time.
 	j.gang.nextPreemptionAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
 	var best *gangEviction
 	for _, zone := range candidateZones(j, env.views) {
@@ -60,21 +60,21 @@
 			s.dispatchNeeded = true
 			return
 		}
-		if e := s.evictInZone(j, n, zone, env, used); e != nil && (best == nil || e.lostWork < best.lostWork) {
+		if e := s.evictInZone(j, n, zone, env, usage); e != nil && (best == nil || e.lostWork < best.lostWork) {
 			best = e
 		}
 	}
 	if best == nil {
 		return
 	}
-	for _, c := range best.options {
-		best.commit(c, env)
+	for _, option := range best.options {
+		best.commit(option, env)
 	}
-	maps.Copy(used, best.teamUsage)
+	maps.Copy(usage, best.teamUsage)
 }
 
-// candidateZones lists the zones in which a gang's room is looked for one by one;
-// "" stands for all of them together.
+// candidateZones lists the zones in which capacity for a gang is searched for one after
+// another. The zone "" stands for all zones together.
 func candidateZones(j *job, views []*sched.Machine) []string {
 	if !j.OneZone {
 		return []string{""}
@@ -86,41 +86,41 @@
 	return sortedKeys(zones)
 }
 
-// evictInZone finds room for n tasks of j in one zone (""; in any), the least
-// loss first, or returns nil if there is none.
-func (s *State) evictInZone(j *job, n int, zone string, env *roundEnv, used map[string]sched.Resources) *gangEviction {
-	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(used), gangWithinGuarantee: s.isWithinGuarantee(j, n, used)}}
+// evictInZone chooses victims so that n tasks of j fit in a zone, with as little lost
+// work as possible. The zone "" stands for all zones. It returns nil if they can't fit.
+func (s *State) evictInZone(j *job, n int, zone string, env *roundEnv, usage map[string]sched.Resources) *gangEviction {
+	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(usage), gangWithinGuarantee: s.isWithinGuarantee(j, n, usage)}}
 	machines := s.eligibleMachines(j, n, zone, env)
-	var open optionHeap
+	var options optionHeap
 	for _, m := range machines {
-		if c, ok := e.cheapestOption(m); ok {
-			open = append(open, c)
+		if option, ok := e.cheapestOption(m); ok {
+			options = append(options, option)
 		}
 	}
-	heap.Init(&open)
-	perZone := map[string]int{}
-	for n > 0 && len(open) > 0 {
-		c := heap.Pop(&open).(evictionOption)
-		if j.Spread && j.tasksByZone[c.machine.zone]+perZone[c.machine.zone] >= j.MaxTasksPerZone() {
+	heap.Init(&options)
+	addedInZone := map[string]int{}
+	for n > 0 && len(options) > 0 {
+		option := heap.Pop(&options).(evictionOption)
+		if j.Spread && j.tasksByZone[option.machine.zone]+addedInZone[option.machine.zone] >= j.MaxTasksPerZone() {
 			continue
 		}
-		// Choices made since may have changed what this one costs, or whether
-		// its victims may be stopped at all.
-		now, ok := e.cheapestOption(c.machine)
+		// Options chosen since may have changed the lost work of this one, or its
+		// victims may no longer be stopped.
+		current, ok := e.cheapestOption(option.machine)
 		if !ok {
 			continue
 		}
-		if now.lostWork > c.lostWork && len(open) > 0 && compareOptions(now, open[0]) > 0 {
-			heap.Push(&open, now)
+		if current.lostWork > option.lostWork && len(options) > 0 && compareOptions(current, options[0]) > 0 {
+			heap.Push(&options, current)
 			continue
 		}
-		e.choose(now)
-		e.options = append(e.options, now)
-		e.lostWork += now.lostWork
-		perZone[c.machine.zone]++
+		e.choose(current)
+		e.options = append(e.options, current)
+		e.lostWork += current.lostWork
+		addedInZone[option.machine.zone]++
 		n--
-		if next, ok := e.cheapestOption(c.machine); ok {
-			heap.Push(&open, next)
+		if next, ok := e.cheapestOption(option.machine); ok {
+			heap.Push(&options, next)
 		}
 	}
 	if n > 0 {
@@ -129,21 +129,21 @@
 	return e
 }
 
-// eligibleMachines lists the machines in a zone (""; in any) that j may use, or nothing
-// where all of them empty wouldn't hold n of its tasks.
+// eligibleMachines lists the machines in a zone that j may use; the zone "" stands for
+// all zones. It returns nil if n tasks of j wouldn't fit on them even if all were empty.
 func (s *State) eligibleMachines(j *job, n int, zone string, env *roundEnv) []*machine {
-	var list []*machine
-	room := 0
+	var eligible []*machine
+	fitting := 0
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if zone != "" && m.zone != zone || !v.Capacity.Fits(j.need()) || !s.allowed(j, m) {
 			continue
 		}
-		list = append(list, m)
-		room += sched.TasksThatFit(v.Capacity, j.need())
+		eligible = append(eligible, m)
+		fitting += sched.TasksThatFit(v.Capacity, j.need())
 	}
-	if room < n {
+	if fitting < n {
 		return nil
 	}
-	return list
+	return eligible
 }
