--- a/internal/core/spare_capacity.go
+++ b/internal/core/spare_capacity.go
@@ -4,23 +4,25 @@
 	"mulleinfall/internal/model"
 )
 
-// Room that is kept free for services and gangs to come.
+// Capacity that is kept free for services and gangs that may arrive.
 
-// spareCapacity is the room that is to be kept free for services and gangs, and how
-// many idle machines may go at a time.
+// spareCapacity decides which idle machines may be returned, so that enough capacity
+// stays free for services and gangs.
 type spareCapacity struct {
 	s            *State
-	returnsLeft  int
+	returnsLeft  int // idle machines that may still be returned in this pass
 	service      *job
-	serviceTasks int // for tasks of the service
+	serviceTasks int // tasks of the service that fit on the free capacity
 	gang         *job
 	gangZone     string
-	gangTasks    int // for tasks of the gang, in its zone
+	gangTasks    int // tasks of the gang that fit in gangZone
 }
 
-// idleReturnDivisor is the part of all machines that may go at a time, for being idle.
+// idleReturnDivisor limits the return of idle machines to one machine plus one in
+// idleReturnDivisor of all machines at a time.
 const idleReturnDivisor = 16
 
+// newSpareCapacity determines what capacity is free for services and gangs now.
 func (s *State) newSpareCapacity() *spareCapacity {
 	r := &spareCapacity{s: s, returnsLeft: 1 + len(s.machinesByName)/idleReturnDivisor, service: s.largestService()}
 	for _, m := range s.machinesByName {
@@ -30,24 +32,25 @@
 	return r
 }
 
-// allowReturn says whether m may go, and if so counts it as gone.
+// allowReturn reports whether idle machine m may be returned. If so, its capacity counts
+// as gone from then on.
 func (r *spareCapacity) allowReturn(m *machine) bool {
-	own, ofGang := r.s.serviceTasksThatFit(m, r.service), 0
+	serviceTasks, gangTasks := r.s.serviceTasksThatFit(m, r.service), 0
 	if r.gang != nil && m.zone == r.gangZone {
-		ofGang = r.s.gangTasksThatFit(m, r.gang)
+		gangTasks = r.s.gangTasksThatFit(m, r.gang)
 	}
-	enough := (own == 0 || r.serviceTasks-own >= r.s.cfg.SpareServices) &&
-		(ofGang == 0 || r.gangTasks-ofGang >= r.gang.Tasks*r.s.cfg.SpareGangs)
+	enough := (serviceTasks == 0 || r.serviceTasks-serviceTasks >= r.s.cfg.SpareServices) &&
+		(gangTasks == 0 || r.gangTasks-gangTasks >= r.gang.Tasks*r.s.cfg.SpareGangs)
 	if r.returnsLeft <= 0 || !enough {
 		return false
 	}
 	r.returnsLeft--
-	r.serviceTasks -= own
-	r.gangTasks -= ofGang
+	r.serviceTasks -= serviceTasks
+	r.gangTasks -= gangTasks
 	return true
 }
 
-// largestService is a job with the most demanding service tasks of now, or nil.
+// largestService returns the active prod service whose tasks need the most CPUs, or nil.
 func (s *State) largestService() *job {
 	var best *job
 	for _, j := range s.active {
@@ -58,8 +61,8 @@
 	return best
 }
 
-// serviceTasksThatFit is for how many of the service tasks of j m has room, up to
-// what is to be kept free.
+// serviceTasksThatFit returns how many tasks of the service j fit on m now, up to the
+// number for which capacity is kept free. Spot machines don't count.
 func (s *State) serviceTasksThatFit(m *machine, j *job) int {
 	if j == nil || m.spot || !s.isUsable(m) {
 		return 0
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -2,43 +2,44 @@
 
 import "mulleinfall/internal/model"
 
-// Submissions: what is accepted, refused for now, and refused for good.
+// Submissions: which jobs are accepted, refused for now, or refused for good.
 
-// submit takes a submission. What is refused for good is refused only once it is
-// sure that no such job was accepted: neither lowered limits nor a replica that
-// lags behind must have an accepted job answered with 400 or 422.
-func (s *State) submit(o requester, spec model.Job, wall int64) {
+// submit handles a submission. A job is refused for good only when it is certain that
+// no job with its id was accepted before. Neither a lowered limit nor a replica that
+// lags behind may cause a 400 or 422 for an accepted job.
+func (s *State) submit(from requester, spec model.Job, wallMs int64) {
 	if len(s.types) == 0 {
-		s.replyRetryLater(o, "machine types are not known yet")
+		s.replyRetryLater(from, "machine types are not known yet")
 		return
 	}
 	if s.jobs[spec.ID] != nil {
-		s.poll(o, spec.ID) // the same id again: the job's state
+		s.poll(from, spec.ID) // submitted before: reply with its status
 		return
 	}
 	if spec.Kind == model.KindGang && s.cfg.GangWaitTimeout > 0 && s.clusterVersion < versionGangs {
-		// A controller of the former version may still take this job over.
-		s.replyRetryLater(o, "not all controllers know gangs yet")
+		// A controller of the former version, which can't run gangs, may still become leader.
+		s.replyRetryLater(from, "not all controllers know gangs yet")
 		return
 	}
-	value := mustMarshal(jobValue{Spec: &spec, SubmittedAt: wall})
-	pass := func() bool { return s.forwardToPeer(o, "submit", spec.ID, mustMarshal(spec), wall) }
+	value := mustMarshal(jobValue{Spec: &spec, SubmittedAt: wallMs})
+	forward := func() bool { return s.forwardToPeer(from, "submit", spec.ID, mustMarshal(spec), wallMs) }
 	if status, why := s.permanentRefusal(&spec, len(value)); status != 0 {
-		s.ifNotAccepted(o, spec.ID, func() { s.replyToUser(o, status, Problem{why}, 0) }, pass)
+		s.ifNotAccepted(from, spec.ID, func() { s.replyToUser(from, status, Problem{why}, 0) }, forward)
 		return
 	}
 	switch {
-	case s.sinceStoreContact() > s.storeContactTimeout() && pass():
+	case s.sinceStoreContact() > s.storeContactTimeout() && forward():
 	case s.isWriteQueueFull():
-		s.replyRetryLater(o, "too many submissions under way")
+		s.replyRetryLater(from, "too many submissions under way")
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
-		s.replyRetryLater(o, "the state service does not answer")
+		s.replyRetryLater(from, "the state service does not answer")
 	default:
-		s.storeJob(o, spec.ID, value, pass)
+		s.storeJob(from, spec.ID, value, forward)
 	}
 }
 
-// permanentRefusal says with which status a job is refused for good, and why; 0: it isn't.
+// permanentRefusal returns the status and the reason with which a job is refused for
+// good, or status 0 if it isn't.
 func (s *State) permanentRefusal(spec *model.Job, bytes int) (status int, why string) {
 	if spec.Kind == model.KindGang && s.cfg.GangWaitTimeout == 0 {
 		return 400, "shape: gangs are not set up here"
@@ -52,50 +53,51 @@
 	return 0, ""
 }
 
-// storeJob makes a submission durable and answers it; pass hands it to a peer.
-func (s *State) storeJob(o requester, id string, value []byte, pass func() bool) {
+// storeJob writes a submission to the state service and replies to the user. forward
+// sends the request to a peer and returns false if there is none that can take it.
+func (s *State) storeJob(from requester, id string, value []byte, forward func() bool) {
 	key := prefixJobs + id
 	s.queueWrite(&write{
 		change:   Change{Key: key, Value: value},
 		deadline: s.now + userRequestTimeout,
-		done: func(r outcome) {
+		done: func(result outcome) {
 			j := s.jobs[id]
 			switch {
-			case r == written:
+			case result == written:
 				s.notifyPeers(key, value)
-				s.replyToUser(o, 201, JobStatus{ID: id, Phase: model.PhaseQueued}, 0)
-			case r == conflict && j != nil:
-				s.replyWithStatus(o, j) // known by now, through another node or an earlier try
-			case r == conflict:
-				s.replyRetryLater(o, "try again")
-			case !pass():
-				s.replyRetryLater(o, "the state service does not answer")
+				s.replyToUser(from, 201, JobStatus{ID: id, Phase: model.PhaseQueued}, 0)
+			case result == conflict && j != nil:
+				s.replyWithStatus(from, j) // already accepted, from another controller or an earlier try
+			case result == conflict:
+				s.replyRetryLater(from, "try again")
+			case !forward():
+				s.replyRetryLater(from, "the state service does not answer")
 			}
 		},
 	})
 }
 
-// ifNotAccepted calls f if no such job was accepted, and answers with the job's
-// state otherwise. pass tries a peer if that can't be told here.
-func (s *State) ifNotAccepted(o requester, id string, f func(), pass func() bool) {
+// ifNotAccepted calls f if no job with this id was accepted, and replies with the job's
+// status otherwise. If this controller can't find out, forward sends the request to a peer.
+func (s *State) ifNotAccepted(from requester, id string, f func(), forward func() bool) {
 	if len(s.pendingReads) >= s.cfg.MaxRequests {
-		s.replyRetryLater(o, "too many requests under way")
+		s.replyRetryLater(from, "too many requests under way")
 		return
 	}
 	s.linearizableRead(func(ok bool) {
 		switch j := s.jobs[id]; {
-		case !ok && pass():
+		case !ok && forward():
 		case !ok:
-			s.replyRetryLater(o, "the state service does not answer")
+			s.replyRetryLater(from, "the state service does not answer")
 		case j != nil:
-			s.replyWithStatus(o, j)
+			s.replyWithStatus(from, j)
 		default:
 			f()
 		}
 	})
 }
 
-// infeasibleReason says why a job can never run, or nothing.
+// infeasibleReason returns why a job can never run, or "" if it can.
 func (s *State) infeasibleReason(j *model.Job) string {
 	team, ok := s.cfg.Teams[j.Team]
 	if !ok {
@@ -105,26 +107,27 @@
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	n := 1.0
+	tasksAtOnce := 1.0
 	if j.Kind != model.KindBatch {
-		n = float64(j.Tasks)
+		tasksAtOnce = float64(j.Tasks)
 	}
-	lim := team.Limit
-	if lim.CPUs > 0 && n*j.CPUs > lim.CPUs || lim.GPUs > 0 && n*j.GPUs > lim.GPUs {
+	limit := team.Limit
+	if limit.CPUs > 0 && tasksAtOnce*j.CPUs > limit.CPUs || limit.GPUs > 0 && tasksAtOnce*j.GPUs > limit.GPUs {
 		return "the job needs more than its team's limit"
 	}
-	places := len(zones)
+	zoneCount := len(zones)
 	if j.OneZone {
-		places = min(places, 1)
+		zoneCount = min(zoneCount, 1)
 	}
-	if j.Kind == model.KindGang && places > 0 && j.Tasks > places*j.MaxTasksPerZone() {
+	if j.Kind == model.KindGang && zoneCount > 0 && j.Tasks > zoneCount*j.MaxTasksPerZone() {
 		return "the gang's tasks can't be spread over the zones at the same time"
 	}
 	return ""
 }
 
-// feasibleZones lists the zones in which a task of j fits an allowed machine type, and
-// says whether it fits any. Of a type without zones nothing final is said.
+// feasibleZones returns the zones in which a task of j fits an allowed machine type, and
+// whether it fits any type. A type that lists no zones counts as fitting if j may run in
+// any zone.
 func (s *State) feasibleZones(j *model.Job) (zones map[string]bool, fits bool) {
 	zones = map[string]bool{}
 	for i := range s.typeList {
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -6,55 +6,57 @@
 	"mulleinfall/internal/model"
 )
 
-// userRequests is what concerns users' requests on this node.
+// userRequests holds the state of users' requests on this controller.
 type userRequests struct {
 	forwarded  map[uint64]*forwardedRequest
 	forwardSeq uint64
-	isolated   bool // has lost the state service and every peer, and is not back yet
+	isolated   bool // lost the state service and all peers, and hasn't been back long enough
 }
 
-// init numbers what is asked apart from any other life of this node: a late
-// answer to an earlier life would otherwise answer another user's question.
+// init starts the numbers of forwarded requests in a range of this incarnation's own.
+// Otherwise a late reply to a previous incarnation could be taken for the reply to
+// another user's request.
 func (u *userRequests) init(boot uint64) {
 	u.forwarded, u.forwardSeq = map[uint64]*forwardedRequest{}, boot<<20
 }
 
-// userRequestTimeout bounds how long a user's change is tried. Users give up after 5 s;
-// what is refused sooner is retried sooner.
+// userRequestTimeout limits how long a user's change is tried. Users give up after 5 s,
+// and they retry sooner if they are refused sooner.
 const userRequestTimeout = 2 * time.Second
 
-// isWriteQueueFull says whether a user's change that came now could not be written
-// before it is given up, because too many wait before it. Whoever asks is told
-// so at once.
+// isWriteQueueFull reports whether so many users' changes are queued that another one
+// would time out before it is written. Such a request is refused at once.
 func (s *State) isWriteQueueFull() bool {
 	waiting := 0
 	for _, w := range s.queue {
 		if w.class != classUser {
-			break // they stand in front
+			break // users' changes are at the front of the queue
 		}
 		waiting++
 	}
 	return float64(waiting) >= float64(s.writeRate.Limit())*userRequestTimeout.Seconds()+float64(s.cfg.MaxTxnOps)
 }
 
-func (s *State) replyToUser(o requester, status int, body any, retry int) {
-	if o.peer != "" {
-		s.emit(PeerOut{o.peer, PeerMsg{Kind: MsgForwardReply, Ask: o.forwardID, Status: status, Value: mustMarshal(body), Retry: retry}})
+// replyToUser answers a user's request, through the peer that forwarded it if there is one.
+func (s *State) replyToUser(from requester, status int, body any, retry int) {
+	if from.peer != "" {
+		s.emit(PeerOut{from.peer, PeerMsg{Kind: MsgForwardReply, Ask: from.forwardID, Status: status, Value: mustMarshal(body), Retry: retry}})
 		return
 	}
-	s.emit(Reply{RequestID: o.requestID, Status: status, Body: body, RetryAfter: retry})
+	s.emit(Reply{RequestID: from.requestID, Status: status, Body: body, RetryAfter: retry})
 }
 
-// replyRetryLater refuses for now. Where a peer reaches the state service and we
-// don't, it is asked instead.
-func (s *State) replyRetryLater(o requester, why string) {
-	s.replyToUser(o, 503, Problem{why}, 1)
+// replyRetryLater tells the user to retry. Callers first try to forward the request to a
+// peer if only the peer reaches the state service.
+func (s *State) replyRetryLater(from requester, why string) {
+	s.replyToUser(from, 503, Problem{why}, 1)
 }
 
+// answerHealthCheck answers a health check of this controller.
 func (s *State) answerHealthCheck(req uint64) {
-	// Not ready only while nothing can be served at all: neither from here
-	// nor through a peer. Flapping is punished, so a slow state service is
-	// no reason, nor is an outage that every node has.
+	// A controller reports not ready only while it can serve nothing, neither itself nor
+	// through a peer. A status that changes often is penalized, so a slow state service
+	// is no reason, and neither is an outage that affects all controllers.
 	if s.loaded && !s.updateIsolation() {
 		s.emit(Reply{RequestID: req, Status: 200, Body: map[string]string{"status": "up"}})
 		return
@@ -62,113 +64,115 @@
 	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{"state not loaded yet"}, RetryAfter: 1})
 }
 
-// updateIsolation says whether this node has lost both the state service and the
-// other controllers, so that users are better served elsewhere. Once it has,
-// the state service must be back for a while.
+// updateIsolation reports whether this controller can reach neither the state service
+// nor the other controllers, so that users are better served elsewhere. After that, it
+// counts as isolated until it has reached the state service for a while.
 func (s *State) updateIsolation() bool {
-	gap := s.storeContactTimeout()
-	if s.sinceStoreContact() <= gap {
-		s.isolated = s.isolated && s.lastContactAt-s.contactSince < gap
+	timeout := s.storeContactTimeout()
+	if s.sinceStoreContact() <= timeout {
+		s.isolated = s.isolated && s.lastContactAt-s.contactSince < timeout
 		return s.isolated
 	}
-	heard := time.Duration(0)
+	lastHeardAt := time.Duration(0)
 	for _, p := range s.peers {
-		heard = max(heard, p.heardAt)
+		lastHeardAt = max(lastHeardAt, p.heardAt)
 	}
-	if s.now-heard > 2*gap && s.sinceStoreContact() > 2*gap && len(s.peers) > 0 {
+	if s.now-lastHeardAt > 2*timeout && s.sinceStoreContact() > 2*timeout && len(s.peers) > 0 {
 		s.isolated = true
 	}
 	return s.isolated
 }
 
-func (s *State) poll(o requester, id string) {
+// poll replies with a job's status.
+func (s *State) poll(from requester, id string) {
 	if j := s.jobs[id]; j != nil && j.isFinal() {
-		s.replyWithStatus(o, j) // final for ever: no need to look
+		s.replyWithStatus(from, j) // a final status doesn't change: no read is needed
 		return
 	}
-	if s.sinceStoreContact() > s.storeContactTimeout() && s.forwardToPeer(o, "poll", id, nil, 0) {
+	if s.sinceStoreContact() > s.storeContactTimeout() && s.forwardToPeer(from, "poll", id, nil, 0) {
 		return
 	}
-	s.ifNotAccepted(o, id,
-		func() { s.replyToUser(o, 404, Problem{"no such job"}, 0) },
-		func() bool { return s.forwardToPeer(o, "poll", id, nil, 0) })
+	s.ifNotAccepted(from, id,
+		func() { s.replyToUser(from, 404, Problem{"no such job"}, 0) },
+		func() bool { return s.forwardToPeer(from, "poll", id, nil, 0) })
 }
 
-func (s *State) cancel(o requester, id string) {
+// cancel handles a user's cancellation of a job.
+func (s *State) cancel(from requester, id string) {
 	if j := s.jobs[id]; j != nil && j.isFinal() {
-		s.replyWithStatus(o, j)
+		s.replyWithStatus(from, j)
 		return
 	}
-	pass := func() bool { return s.forwardToPeer(o, "withdraw", id, nil, 0) }
+	forward := func() bool { return s.forwardToPeer(from, "withdraw", id, nil, 0) }
 	switch {
-	case s.sinceStoreContact() > s.storeContactTimeout() && pass():
+	case s.sinceStoreContact() > s.storeContactTimeout() && forward():
 	case s.jobs[id] == nil:
-		s.cancelUnknown(o, id)
+		s.cancelUnknown(from, id)
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
-		s.replyRetryLater(o, "the state service does not answer")
+		s.replyRetryLater(from, "the state service does not answer")
 	case s.isWriteQueueFull():
-		s.replyRetryLater(o, "too many changes under way")
+		s.replyRetryLater(from, "too many changes under way")
 	default:
-		s.storeCancellation(o, id, pass)
+		s.storeCancellation(from, id, forward)
 	}
 }
 
-// cancelUnknown reads the state service before a job counts as unknown.
-func (s *State) cancelUnknown(o requester, id string) {
+// cancelUnknown reads the state service before it replies that there is no such job.
+func (s *State) cancelUnknown(from requester, id string) {
 	if len(s.pendingReads) >= s.cfg.MaxRequests {
-		s.replyRetryLater(o, "too many requests under way")
+		s.replyRetryLater(from, "too many requests under way")
 		return
 	}
 	s.linearizableRead(func(ok bool) {
 		switch {
 		case !ok:
-			s.replyRetryLater(o, "the state service does not answer")
+			s.replyRetryLater(from, "the state service does not answer")
 		case s.jobs[id] == nil:
-			s.replyToUser(o, 404, Problem{"no such job"}, 0)
+			s.replyToUser(from, 404, Problem{"no such job"}, 0)
 		default:
-			s.cancel(o, id)
+			s.cancel(from, id)
 		}
 	})
 }
 
-// storeCancellation makes a cancellation durable and confirms it; pass hands it to
-// a peer.
-func (s *State) storeCancellation(o requester, id string, pass func() bool) {
+// storeCancellation writes a cancellation to the state service and confirms it to the
+// user. forward sends the request to a peer.
+func (s *State) storeCancellation(from requester, id string, forward func() bool) {
 	key := prefixJobs + id
 	value := mustMarshal(jobValue{Phase: model.PhaseAborted})
 	s.queueWrite(&write{
 		change:   Change{Key: key, Value: value},
 		deadline: s.now + userRequestTimeout,
-		done: func(r outcome) {
+		done: func(result outcome) {
 			j := s.jobs[id]
 			switch {
-			case r == written:
+			case result == written:
 				s.notifyPeers(key, value)
-				s.replyWithStatus(o, j)
-			case r == conflict && j != nil && j.isFinal():
-				s.replyWithStatus(o, j)
-			case !pass():
-				s.replyRetryLater(o, "the state service does not answer")
+				s.replyWithStatus(from, j)
+			case result == conflict && j != nil && j.isFinal():
+				s.replyWithStatus(from, j)
+			case !forward():
+				s.replyRetryLater(from, "the state service does not answer")
 			}
 		},
 	})
 }
 
-// jobStatus is what a user is told of a job.
+// jobStatus returns the status of a job as users see it.
 func (s *State) jobStatus(j *job) JobStatus {
-	st := JobStatus{ID: j.ID, Phase: j.phase, Done: j.doneCount}
+	status := JobStatus{ID: j.ID, Phase: j.phase, Done: j.doneCount}
 	if j.phase == model.PhaseDone {
-		st.Done = j.Tasks
+		status.Done = j.Tasks
 	}
 	if j.phase == "" {
-		st.Running = j.reportedRunning
+		status.Running = j.reportedRunning
 		if s.IsLeader() {
-			st.Running = j.countRunning()
+			status.Running = j.countRunning()
 		}
-		st.Phase = model.PhaseQueued
-		if st.Running > 0 {
-			st.Phase = model.PhaseRunning
+		status.Phase = model.PhaseQueued
+		if status.Running > 0 {
+			status.Phase = model.PhaseRunning
 		}
 	}
-	return st
+	return status
 }
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -9,22 +9,22 @@
 	"mulleinfall/internal/sched"
 )
 
-// What the dispatch rule sees of machines and jobs.
+// The dispatch rule's view of machines and jobs.
 
-// isUsable says whether m may be given new tasks. While its mark as silent may
-// be on the roster it isn't: a session that has begun since has a lease that no
-// successor would know of.
+// isUsable reports whether m may be given new tasks. It may not while the state service
+// may still record m as unresponsive: a successor wouldn't know of the lease of a
+// session that has started since then.
 func (s *State) isUsable(m *machine) bool {
 	return m.reconciled && m.registered && m.storedUnresponsiveSince == 0 && !m.leaseExpired && !m.slow && !m.returning && !m.reachability.unreachable && m.reclaimAt == 0 && m.machineType != nil &&
 		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.maxReportGap()
 }
 
-// maxReportGap is how long a machine may go without a report before it counts as
-// silent.
+// maxReportGap returns how long a machine may go without a report before it counts as
+// unresponsive.
 func (s *State) maxReportGap() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
 
-// refreshView works out m's free room and what runs on it, if anything has
-// changed since it was last done.
+// refreshView updates the free resources, running tasks and fetches in m's view if
+// anything has changed since the last update.
 func (s *State) refreshView(m *machine) {
 	if !m.viewStale {
 		return
@@ -47,7 +47,7 @@
 			begin := t.runningSince
 			if t.state != model.TaskRunning {
 				begin = s.now
-				m.viewStale = true // the end moves on until it has begun
+				m.viewStale = true // the end moves until the task is running
 			}
 			end = begin + time.Duration(t.job.EstimateS*float64(time.Second))
 		}
@@ -57,7 +57,7 @@
 		if j := s.orphanedTaskJob(name); j != nil {
 			v.Free = v.Free.Sub(j.need())
 		} else {
-			v.Free = sched.Resources{} // unknown size: wait until it is gone
+			v.Free = sched.Resources{} // unknown size: nothing is placed until the task is gone
 		}
 	}
 	kept := v.Fetching[:0]
@@ -69,9 +69,9 @@
 	v.Fetching = kept
 }
 
-// orphanedTaskJob is the job of a task that is on a machine and shouldn't be; nil
-// where its description isn't known: a job that is over is kept without it,
-// and a leader that wasn't up before knows no more.
+// orphanedTaskJob returns the job of a task that is on a machine but shouldn't be. It
+// returns nil if the job's spec isn't known: a final job is stored without it, so a
+// leader that started later never read it.
 func (s *State) orphanedTaskJob(task string) *job {
 	id, _, _ := model.ParseTaskName(task)
 	if j := s.jobs[id]; j != nil && j.Team != "" {
@@ -80,32 +80,35 @@
 	return nil
 }
 
-// roundEnv is what the dispatch rule sees of the state.
+// roundEnv implements sched.Env on the state, for one dispatch round.
 type roundEnv struct {
 	s               *State
 	views           []*sched.Machine
-	changedMachines []*machine // in order, each once
+	changedMachines []*machine // in order of the first change
 	// gangTasks are the tasks of gangs that were placed in this round.
 	gangTasks []*task
 	elapsed   func() time.Duration
 }
 
+// BudgetExhausted implements sched.Env.
 func (e *roundEnv) BudgetExhausted() bool {
 	return e.s.cfg.RoundBudget > 0 && e.elapsed() >= e.s.cfg.RoundBudget
 }
 
+// markChanged notes that m may get orders after the round.
 func (e *roundEnv) markChanged(m *machine) {
 	if !slices.Contains(e.changedMachines, m) {
 		e.changedMachines = append(e.changedMachines, m)
 	}
 }
 
-func (e *roundEnv) Allowed(sj *sched.Job, v *sched.Machine) bool {
-	return e.s.allowed(sj.Ref.(*job), v.Ref.(*machine))
+// Allowed implements sched.Env.
+func (e *roundEnv) Allowed(entry *sched.Job, v *sched.Machine) bool {
+	return e.s.allowed(entry.Ref.(*job), v.Ref.(*machine))
 }
 
-// allowed checks type, zone, kind and the job's other tasks, counting every
-// task that may still be somewhere.
+// allowed reports whether a task of j may be on m now by reservation, type, zone, kind
+// and the job's other tasks. A task that may still be on a machine counts as being there.
 func (s *State) allowed(j *job, m *machine) bool {
 	if m.reservedFor != nil && m.reservedFor != j && s.now < m.reservedUntil && (!m.draining || j.rank != model.PriorityRank(model.PriorityProd)) {
 		return false
@@ -123,64 +126,65 @@
 	return !j.Spread || here < j.MaxTasksPerZone()
 }
 
-func (e *roundEnv) WithinLimit(sj *sched.Job) bool { return e.s.isWithinLimit(sj.Ref.(*job), 1) }
+// WithinLimit implements sched.Env.
+func (e *roundEnv) WithinLimit(entry *sched.Job) bool { return e.s.isWithinLimit(entry.Ref.(*job), 1) }
 
-// isWithinLimit says whether n more tasks of j keep its team within its limit.
+// isWithinLimit reports whether n more tasks of j keep its team within its limit.
 func (s *State) isWithinLimit(j *job, n int) bool {
-	lim := s.cfg.Teams[j.Team].Limit
-	if lim.CPUs == 0 && lim.GPUs == 0 {
+	limit := s.cfg.Teams[j.Team].Limit
+	if limit.CPUs == 0 && limit.GPUs == 0 {
 		return true
 	}
 	if !s.takeoverComplete {
-		// Machines that haven't shown their tasks in this term may run more
-		// of the team's than we count: even a new job has to wait, or the
-		// team would exceed its limit together with what is unseen.
+		// Machines that haven't reported their tasks in this term may run more tasks of
+		// the team than are counted here. Even a new job has to wait, or the team could
+		// exceed its limit.
 		return false
 	}
-	used := s.teamUsage[j.Team]
+	usage := s.teamUsage[j.Team]
 	for _, m := range s.machinesWithOrphans {
 		for name := range m.orphanedTasks {
-			o := s.orphanedTaskJob(name)
-			if o == nil {
-				return false // whose it is isn't known: it may be this team's
+			orphanJob := s.orphanedTaskJob(name)
+			if orphanJob == nil {
+				return false // the task's team is unknown and may be this one
 			}
-			if o.Team == j.Team {
-				used = used.Add(o.quotaShare())
+			if orphanJob.Team == j.Team {
+				usage = usage.Add(orphanJob.quotaShare())
 			}
 		}
 	}
-	used = used.Add(j.quotaShare().Times(n))
-	const slack = 1e-6
-	return (lim.CPUs == 0 || used.CPUs <= lim.CPUs+slack) && (lim.GPUs == 0 || used.GPUs <= lim.GPUs+slack)
+	usage = usage.Add(j.quotaShare().Times(n))
+	const tolerance = 1e-6
+	return (limit.CPUs == 0 || usage.CPUs <= limit.CPUs+tolerance) && (limit.GPUs == 0 || usage.GPUs <= limit.GPUs+tolerance)
 }
 
-// Place binds the next waiting task of a job to a machine.
-func (e *roundEnv) Place(sj *sched.Job, v *sched.Machine, path sched.Path) bool {
-	s, j, m := e.s, sj.Ref.(*job), v.Ref.(*machine)
-	i, ok := j.takeWaitingTask()
+// Place binds the next waiting task of a job to a machine. It implements sched.Env.
+func (e *roundEnv) Place(entry *sched.Job, v *sched.Machine, path sched.Path) bool {
+	s, j, m := e.s, entry.Ref.(*job), v.Ref.(*machine)
+	index, ok := j.takeWaitingTask()
 	if !ok {
-		sj.Waiting = 0
+		entry.Waiting = 0
 		return false
 	}
 	s.attemptCounter++
 	t := &task{
-		job: j, index: i, name: model.TaskName(j.ID, i), machine: m, session: m.session,
+		job: j, index: index, name: model.TaskName(j.ID, index), machine: m, session: m.session,
 		attempt: s.leadership.Term<<attemptBits | s.attemptCounter,
 	}
 	if j.Kind == model.KindGang {
 		if len(j.tasks) == 0 {
 			j.gang = gangStatus{attempt: t.attempt}
 		}
-		t.attempt = j.gang.attempt // by which its tasks find each other
+		t.attempt = j.gang.attempt // tasks of a gang find each other by it
 		e.gangTasks = append(e.gangTasks, t)
 	}
 	s.bind(t)
-	sj.Waiting--
-	need := sj.Need
+	entry.Waiting--
+	need := entry.Need
 	v.Free = v.Free.Sub(need)
 	end := sched.Never
-	if !sj.IsService {
-		end = s.now + sj.Estimate
+	if !entry.IsService {
+		end = s.now + entry.Estimate
 	}
 	v.AddRunning(sched.RunningTask{Need: need, EndAt: end})
 	if !v.Images.Has(j.Image) {
@@ -202,10 +206,10 @@
 	return true
 }
 
-// Undo takes back the tasks of a gang that were placed in this round and don't
-// fit as a whole. Nothing of them has left this node yet.
-func (e *roundEnv) Undo(sj *sched.Job) {
-	j := sj.Ref.(*job)
+// Undo reverts the placements of a gang that doesn't fit as a whole. No order for them
+// has been sent yet. It implements sched.Env.
+func (e *roundEnv) Undo(entry *sched.Job) {
+	j := entry.Ref.(*job)
 	e.gangTasks = slices.DeleteFunc(e.gangTasks, func(t *task) bool {
 		if t.job != j {
 			return false
