--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,8 +11,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// newSingleController makes the state of a controller without peers, for tests that play
-// the outside by hand.
+// newSingleController returns the state of a controller without peers. Tests play the
+// state service, the cloud and the workers themselves.
 func newSingleController() *State {
 	return New(Config{
 		Self: "n0", Incarnation: 1, Teams: map[string]Team{"t": {}},
@@ -23,16 +23,17 @@
 	}, 0)
 }
 
-// newLeadership makes s, which has no peers, the leader of term 4 until further notice.
+// newLeadership makes s, which has no peers, the leader of term 4 for the next hour.
 func newLeadership(s *State) *election.Leadership {
 	s.term, s.termModRevision, s.electedAt = 4, 4, 1
-	t := election.NewLeadership(s.electionConfig, 0, 4, 0)
-	t.RecordPromise(0, "n0", 0)
-	t.ConfirmElection(0, 0)
-	t.RecordRenewal(0, time.Hour)
-	return t
+	leadership := election.NewLeadership(s.electionConfig, 0, 4, 0)
+	leadership.RecordPromise(0, "n0", 0)
+	leadership.ConfirmElection(0, 0)
+	leadership.RecordRenewal(0, time.Hour)
+	return leadership
 }
 
+// findStoreCall returns the first call of op to the state service among the effects.
 func findStoreCall(effects []Effect, op StoreOp) (StoreCall, bool) {
 	for _, e := range effects {
 		if c, ok := e.(StoreCall); ok && c.Op == op {
@@ -42,8 +43,8 @@
 	return StoreCall{}, false
 }
 
-// TestRemovedKeysAreDropped: the copy of the state must not grow with every
-// key that ever was, and an old watch's news must not bring one back.
+// TestRemovedKeysAreDropped guards against a replica that grows with every key that ever
+// existed, and against a late reply of an old watch that restores a removed key.
 func TestRemovedKeysAreDropped(t *testing.T) {
 	s := newSingleController()
 	c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
@@ -53,76 +54,76 @@
 	s.Step(time.Second+time.Millisecond, StoreResult{CallID: w.CallID, Status: 200, Revision: 5, Items: []Item{gone}})
 	s.apply(Item{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3})
 	if s.modRevision(prefixMachines+"n-1") != 0 || s.machines["n-1"] != nil {
-		t.Error("old news brought a removed key back")
+		t.Error("removed key: got it restored by an older value, want it to stay removed")
 	}
 	s.Step(2*time.Second, Tick{})
 	if len(s.modRevisions) != 0 || len(s.removed) != 0 {
-		t.Errorf("still kept: %v %v", s.modRevisions, s.removed)
+		t.Errorf("got modification revisions %v and removed keys %v, want none", s.modRevisions, s.removed)
 	}
 }
 
-// TestFirstRevisionIsWatched: an empty store is at revision 0. A controller
-// that watched from 1 on missed the term of the first election, and no later
-// election could be won.
+// TestFirstRevisionIsWatched guards against a lost first change: an empty state service
+// is at revision 0. A controller that watched from revision 1 on missed the term of the
+// first election, and no later election could be won.
 func TestFirstRevisionIsWatched(t *testing.T) {
 	s := newSingleController()
 	c, ok := findStoreCall(s.Step(0, Tick{}), StoreList)
 	if !ok {
-		t.Fatal("nothing is read at the start")
+		t.Fatal("state service at the start: got no list call, want one")
 	}
 	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 0})
 	w, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
 	if !ok || w.AfterRevision != 0 {
-		t.Errorf("watch after %d (asked: %v), want 0", w.AfterRevision, ok)
+		t.Errorf("got a watch after revision %d (found: %v), want one after revision 0", w.AfterRevision, ok)
 	}
 }
 
-// TestMemoryPerEntry bounds what the tables take of the memory: a machine, a job, and
-// the outcome of a job that is over, which is kept for ever.
+// TestMemoryPerEntry limits the memory that the tables need for a machine, a job, and the
+// outcome of a final job, which is kept for ever.
 func TestMemoryPerEntry(t *testing.T) {
-	heap := func() float64 {
+	heapBytes := func() float64 {
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
 	const n = 4000
-	grows := func(item func(i int) Item) float64 {
+	bytesPerEntry := func(item func(i int) Item) float64 {
 		s := newSingleController()
 		c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
-		before := heap()
+		before := heapBytes()
 		for i := range n {
 			s.apply(item(i))
 		}
 		s.effects = nil
-		each := (heap() - before) / n
+		perEntry := (heapBytes() - before) / n
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(c)
-		return each
+		return perEntry
 	}
-	machine := grows(func(i int) Item {
+	machine := bytesPerEntry(func(i int) Item {
 		v := machineRecord{Endpoint: fmt.Sprintf("10.1.%d.%d:9000", i/200, i%200), Type: "small", Zone: "a"}
 		return Item{Key: fmt.Sprintf("%s%d", prefixPages, i+1), Value: mustMarshal(map[string]machineRecord{fmt.Sprintf("n-%06d", i): v}), ModRevision: uint64(i + 1)}
 	})
-	job := grows(func(i int) Item {
+	job := bytesPerEntry(func(i int) Item {
 		id := fmt.Sprintf("req-%06d", i)
 		return Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Spec: &model.Job{ID: id, Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow, Tasks: 40, Image: "img"}}), ModRevision: uint64(i + 1)}
 	})
-	over := grows(func(i int) Item {
+	outcome := bytesPerEntry(func(i int) Item {
 		return Item{Key: fmt.Sprintf("%sreq-%06d", prefixJobs, i), Value: mustMarshal(jobValue{Phase: model.PhaseDone, Tasks: 40}), ModRevision: uint64(i + 1)}
 	})
-	t.Logf("bytes of the heap: a machine %.0f, a job %.0f, an outcome %.0f", machine, job, over)
-	if machine > 2048 || job > 2048 || over > 1024 {
-		t.Errorf("bytes of the heap: a machine %.0f, a job %.0f, an outcome %.0f; at most 2048, 2048 and 1024 are allowed", machine, job, over)
+	t.Logf("heap bytes per entry: machine %.0f, job %.0f, outcome %.0f", machine, job, outcome)
+	if machine > 2048 || job > 2048 || outcome > 1024 {
+		t.Errorf("heap bytes per entry: got machine %.0f, job %.0f, outcome %.0f; want at most 2048, 2048 and 1024", machine, job, outcome)
 	}
 }
 
-// TestUnreachedControllerDelaysCampaign: a node that gave up leading because no
-// worker reached it was elected again when its successor crashed, and cost the
-// workers a lease. It now runs only when nobody else has after a while, or
-// once a worker has come.
+// TestUnreachedControllerDelaysCampaign guards against the election of a controller that
+// the workers don't reach. A controller that had stepped down for that reason was elected
+// again when its successor crashed, which cost the workers a lease. Now it campaigns only
+// if no other controller has done so for a while, or once a worker has reached it.
 func TestUnreachedControllerDelaysCampaign(t *testing.T) {
-	claims := func(s *State, at time.Duration) bool {
+	campaigns := func(s *State, at time.Duration) bool {
 		for _, e := range s.Step(at, Tick{}) {
 			if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgVoteRequest {
 				return true
@@ -130,7 +131,7 @@
 		}
 		return false
 	}
-	fresh := func() *State {
+	unreached := func() *State {
 		cfg := newSingleController().cfg
 		cfg.Peers = []string{"n1", "n2"}
 		s := New(cfg, 0)
@@ -138,30 +139,31 @@
 		s.steppedDownUnreached, s.leaderKeyGoneAt = true, 20*time.Second
 		return s
 	}
-	s := fresh()
-	if claims(s, 20*time.Second+time.Second) {
-		t.Error("it ran at once")
+	s := unreached()
+	if campaigns(s, 20*time.Second+time.Second) {
+		t.Error("unreached controller: got a campaign at once, want a delay")
 	}
 	s.lastContactAt = 23 * time.Second
-	if !claims(s, 23*time.Second) {
-		t.Error("it does not run though nobody else has for a quarter of the lease")
+	if !campaigns(s, 23*time.Second) {
+		t.Error("unreached controller: got no campaign after a quarter of the lease without another candidate, want one")
 	}
-	s = fresh()
+	s = unreached()
 	s.Step(20*time.Second, WorkerReport{RequestID: 1})
-	if !claims(s, 20*time.Second+time.Second) {
-		t.Error("a worker has come, and it does not run")
+	if !campaigns(s, 20*time.Second+time.Second) {
+		t.Error("controller that a worker has reached: got no campaign, want one at once")
 	}
 }
 
-// TestOverrunLeaderDelaysCampaign: a controller that could not keep its own
-// term up, short of processor time, gives the others a start. Two slow ones
-// passed the lead to and fro, a takeover each time, while a third was well.
+// TestOverrunLeaderDelaysCampaign guards against slow controllers that take turns as
+// leader. A controller that lost its leadership because it had too little processor time
+// lets the others campaign first. Otherwise two slow controllers took over from each
+// other again and again while a third one was healthy.
 func TestOverrunLeaderDelaysCampaign(t *testing.T) {
 	cfg := newSingleController().cfg
 	cfg.Peers = []string{"n1", "n2"}
-	runs := func(entitlementLostAt time.Duration) time.Duration {
+	campaignDelay := func(leadershipExpiredAt time.Duration) time.Duration {
 		s := New(cfg, 0)
-		s.loaded, s.hasContact, s.leadershipExpiredAt = true, true, entitlementLostAt
+		s.loaded, s.hasContact, s.leadershipExpiredAt = true, true, leadershipExpiredAt
 		s.leaderKeyGoneAt = 20 * time.Second
 		for at := s.leaderKeyGoneAt; at < 30*time.Second; at += 50 * time.Millisecond {
 			s.lastContactAt = at
@@ -173,70 +175,71 @@
 		}
 		return time.Hour
 	}
-	if wait := runs(0); wait > 100*time.Millisecond {
-		t.Errorf("a controller that is well waits %v", wait)
+	if wait := campaignDelay(0); wait > 100*time.Millisecond {
+		t.Errorf("healthy controller: got a wait of %v, want at most 100ms", wait)
 	}
-	if wait, half := runs(19*time.Second), cfg.Lease*3/32; wait < half || wait > 2*half {
-		t.Errorf("one that overran waits %v, want half of a promise, %v, and not for ever", wait, half)
+	if wait, halfPromise := campaignDelay(19*time.Second), cfg.Lease*3/32; wait < halfPromise || wait > 2*halfPromise {
+		t.Errorf("controller that overran 1 s ago: got a wait of %v, want from %v, half of a promise, to twice that", wait, halfPromise)
 	}
-	if wait := runs(5 * time.Second); wait > 100*time.Millisecond {
-		t.Errorf("one that overran more than a lease ago still waits %v", wait)
+	if wait := campaignDelay(5 * time.Second); wait > 100*time.Millisecond {
+		t.Errorf("controller that overran more than a lease ago: got a wait of %v, want at most 100ms", wait)
 	}
 }
 
-// TestVotesDuringStartupWait: a controller that has just started doesn't know
-// what its earlier life promised. It supports a candidate at once only where
-// that can't matter: the candidate's key is guarded by the version of the term
-// that was read since the start, and the holder of that term is this node's own
-// earlier life or has said that it counts on nothing.
+// TestVotesDuringStartupWait checks when a controller votes before its startup wait is
+// over. It doesn't know what its previous incarnation promised, so it may vote only if
+// such promises can't matter: the precondition of the candidate's key is the modification
+// revision of the term key that the controller has read since its start, and the winner
+// of that term is the controller's own previous incarnation, or has confirmed that it
+// doesn't rely on its promises.
 func TestVotesDuringStartupWait(t *testing.T) {
-	asleep := func(holder string) *State {
+	startingController := func(winner string) *State {
 		cfg := newSingleController().cfg
 		cfg.Self, cfg.Peers = "n0", []string{"n1", "n2"}
 		s := New(cfg, 0)
 		s.loaded, s.hasContact = true, true
-		s.term, s.termModRevision, s.termWinner = 4, 40, holder
+		s.term, s.termModRevision, s.termWinner = 4, 40, winner
 		s.campaignAt = time.Hour
 		return s
 	}
-	granted := func(s *State, stamp uint64) bool {
-		out := s.Step(100*time.Millisecond, PeerIn{From: "n1", Msg: PeerMsg{Kind: MsgVoteRequest, Term: 5, Stamp: stamp, StoreOK: true}})
-		for _, e := range out {
+	granted := func(s *State, modRevision uint64) bool {
+		effects := s.Step(100*time.Millisecond, PeerIn{From: "n1", Msg: PeerMsg{Kind: MsgVoteRequest, Term: 5, Stamp: modRevision, StoreOK: true}})
+		for _, e := range effects {
 			if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgPromise {
 				return p.Msg.Granted
 			}
 		}
-		t.Fatal("the claim was not answered")
+		t.Fatal("vote request: got no answer, want one")
 		return false
 	}
-	if !granted(asleep("n0"), 40) {
-		t.Error("it sleeps out promises that only its own earlier life could have needed")
+	if !granted(startingController("n0"), 40) {
+		t.Error("term won by the previous incarnation: got no vote, want one")
 	}
-	if granted(asleep("n0"), 39) {
-		t.Error("it supports a candidate whose key is not guarded by the term that it has read")
+	if granted(startingController("n0"), 39) {
+		t.Error("request for another revision of the term key: got a vote, want none")
 	}
-	if granted(asleep("n2"), 40) {
-		t.Error("it supports a candidate though n2 may lead by a promise of its earlier life")
+	if granted(startingController("n2"), 40) {
+		t.Error("term won by n2, which may rely on a promise of the previous incarnation: got a vote, want none")
 	}
-	s := asleep("n2")
+	s := startingController("n2")
 	s.Step(50*time.Millisecond, PeerIn{From: "n2", Msg: PeerMsg{Kind: MsgPromisesReleased, Ask: s.cfg.Incarnation}})
 	if !granted(s, 40) {
-		t.Error("n2 has said that it counts on nothing, and it sleeps on")
+		t.Error("term won by n2, which has released the promises: got no vote, want one")
 	}
-	s = asleep("n2")
+	s = startingController("n2")
 	s.Step(50*time.Millisecond, PeerIn{From: "n1", Msg: PeerMsg{Kind: MsgPromisesReleased, Ask: s.cfg.Incarnation}})
 	if granted(s, 40) {
-		t.Error("it took n1's word for n2's")
+		t.Error("term won by n2, promises released by n1 only: got a vote, want none")
 	}
-	s = asleep("n0")
+	s = startingController("n0")
 	s.loaded = false
 	if granted(s, 40) {
-		t.Error("it supports a candidate by a version that it has not read")
+		t.Error("state not read since the start: got a vote, want none")
 	}
 }
 
-// TestUserWritesGoFirst: however much the leader has to write, what a user waits for
-// is in the next transaction.
+// TestUserWritesGoFirst checks that a user's change goes into the next transaction,
+// however many changes of the leader are queued.
 func TestUserWritesGoFirst(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact = true, true
@@ -246,13 +249,13 @@
 	s.queueWrite(&write{change: Change{Key: prefixJobs + "req-000001", Value: mustMarshal(1)}, deadline: time.Hour, done: func(outcome) {}})
 	c, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreTxn)
 	if !ok || c.Changes[0].Key != prefixJobs+"req-000001" {
-		t.Errorf("the first transaction (%v) begins with %+v", ok, c.Changes)
+		t.Errorf("got a first transaction (found: %v) with changes %+v, want the user's change first", ok, c.Changes)
 	}
 }
 
-// TestMessagesOfPreviousIncarnationIgnored: what was said to or by a process before it
-// started anew may be delivered minutes later. Its terms and questions may have
-// the same numbers as those of now, its clock showed another time.
+// TestMessagesOfPreviousIncarnationIgnored guards against messages to or from a previous
+// incarnation of a process, which may be delivered minutes after its restart. Their term
+// or request number may be in use again, and they carry times of another clock.
 func TestMessagesOfPreviousIncarnationIgnored(t *testing.T) {
 	cfg := newSingleController().cfg
 	cfg.Self, cfg.Peers, cfg.Incarnation = "n0", []string{"n1", "n2"}, 7
@@ -264,11 +267,11 @@
 	s.campaignAt = time.Hour
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgPromise, Ask: 6, Term: 5, Sent: 5 * time.Minute, Granted: true}))
 	if s.leadership.HasMajority(time.Second) {
-		t.Error("a promise to an earlier life is counted")
+		t.Error("promise to the previous incarnation: got it counted, want it ignored")
 	}
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgPromise, Ask: 7, Term: 5, Sent: time.Second, Granted: true}))
 	if !s.leadership.HasMajority(time.Second) {
-		t.Error("a promise to this life is not counted")
+		t.Error("promise to this incarnation: got it ignored, want it counted")
 	}
 
 	s = New(cfg, 0)
@@ -277,15 +280,15 @@
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgVoteRequest, Ask: 21, Term: 5, StoreOK: true}))
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgRelease, Ask: 20, Term: 5}))
 	if _, bound := s.voter.PromisedTo(time.Second); !bound {
-		t.Error("the end of an earlier life's candidacy frees the promise to this one")
+		t.Error("release by the previous incarnation of the candidate: got the promise to the present one released, want it kept")
 	}
 	s.Step(time.Second, from("n1", PeerMsg{Kind: MsgRelease, Ask: 21, Term: 5}))
 	if _, bound := s.voter.PromisedTo(time.Second); bound {
-		t.Error("the end of the candidacy does not free the promise")
+		t.Error("release by the candidate: got the promise kept, want it released")
 	}
 
-	ask := func(boot uint64) uint64 {
-		cfg.Incarnation = boot
+	forwardedID := func(incarnation uint64) uint64 {
+		cfg.Incarnation = incarnation
 		s = New(cfg, 0)
 		s.peers["n1"].reachesStore, s.peers["n1"].heardAt = true, time.Second
 		for _, e := range s.Step(time.Second, Poll{RequestID: 1, ID: "req-000001"}) {
@@ -293,27 +296,28 @@
 				return p.Msg.Ask
 			}
 		}
-		t.Fatal("the question is not passed on")
+		t.Fatal("request of a user: got it not forwarded, want it forwarded")
 		return 0
 	}
-	old := ask(7)
-	ask(8)
-	for _, e := range s.Step(time.Second, from("n1", PeerMsg{Kind: MsgForwardReply, Ask: old, Status: 200, Value: []byte("{}")})) {
+	previousID := forwardedID(7)
+	forwardedID(8)
+	for _, e := range s.Step(time.Second, from("n1", PeerMsg{Kind: MsgForwardReply, Ask: previousID, Status: 200, Value: []byte("{}")})) {
 		if r, ok := e.(Reply); ok {
-			t.Errorf("the answer to an earlier life's question answers this one's: %+v", r)
+			t.Errorf("reply to a request of the previous incarnation: got %+v sent to a user, want it ignored", r)
 		}
 	}
 }
 
-// TestUnresponsiveMarkLeavesTimeForSuccessor: after a crash workers come to the successor
-// within five seconds. Marked as silent before that, each had to wait for two
-// writes of its page, and on a day of crashes at short reports half as many
-// tasks again were killed by their lease.
+// TestUnresponsiveMarkLeavesTimeForSuccessor checks that a machine is not marked as
+// unresponsive before its worker has had time to find the next controller, which takes up
+// to five seconds after a crash. A marked machine has to wait for two writes of its
+// registry page; in a scenario of crashes and short report intervals half as many tasks
+// again were killed at the end of their lease because of that.
 func TestUnresponsiveMarkLeavesTimeForSuccessor(t *testing.T) {
 	for _, c := range []struct{ report, want time.Duration }{
-		{1500 * time.Millisecond, 3 * time.Second}, // two reports, where a lease is short
-		{2500 * time.Millisecond, 5 * time.Second}, // as long as a worker needs
-		{6 * time.Second, 9 * time.Second},         // a report and a half
+		{1500 * time.Millisecond, 3 * time.Second}, // two report intervals, since the lease is short
+		{2500 * time.Millisecond, 5 * time.Second}, // the time that a worker needs
+		{6 * time.Second, 9 * time.Second},         // one and a half report intervals
 		{3500 * time.Millisecond, 5250 * time.Millisecond},
 	} {
 		cfg := newSingleController().cfg
@@ -322,51 +326,52 @@
 		s.leadership, s.pages = election.NewLeadership(s.electionConfig, 0, 1, 0), map[int]*registryPage{}
 		m := s.ensureMachine("n-000001")
 		m.page, m.registered = 1, true
-		marked := func(at time.Duration) bool {
+		isMarked := func(at time.Duration) bool {
 			s.now, s.nextUnresponsiveCheckAt = at, 0
 			s.markUnresponsiveMachines()
 			return m.unresponsiveSince != 0
 		}
-		if marked(c.want - time.Millisecond) {
-			t.Errorf("reports every %v: marked before %v of silence", c.report, c.want)
+		if isMarked(c.want - time.Millisecond) {
+			t.Errorf("report interval %v: got marked within %v without a report, want not yet", c.report, c.want)
 		}
-		if !marked(c.want) {
-			t.Errorf("reports every %v: not marked after %v of silence", c.report, c.want)
+		if !isMarked(c.want) {
+			t.Errorf("report interval %v: got not marked after %v without a report, want marked", c.report, c.want)
 		}
 	}
 }
 
-// TestFullWriteQueueRefusesAtOnce: a submission that couldn't be written before it
-// is given up is refused when it comes, not when its time is over.
+// TestFullWriteQueueRefusesAtOnce checks that a submission that can't be written before
+// its time-out is refused when it arrives, not when it times out.
 func TestFullWriteQueueRefusesAtOnce(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 	s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 	s.typeList = []model.MachineType{*s.types["small"]}
 	s.txnInFlight = true // the last transaction is still under way
-	taken := 0
+	queued := 0
 	for i := range 500 {
 		j := model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Kind: model.KindBatch, Tasks: 1, CPUs: 1, MemoryGB: 1}
 		for _, e := range s.Step(time.Second, Submit{RequestID: uint64(i), Job: j}) {
 			if r, ok := e.(Reply); ok {
 				if r.Status != 503 || r.RetryAfter < 1 {
-					t.Fatalf("answered %+v", r)
+					t.Fatalf("refused submission: got %+v, want status 503 with Retry-After", r)
 				}
-				if can := float64(s.writeRate.Limit()) * userRequestTimeout.Seconds(); float64(taken) < can {
-					t.Errorf("refused with %d waiting, though %.0f can be written in time", taken, can)
+				if writable := float64(s.writeRate.Limit()) * userRequestTimeout.Seconds(); float64(queued) < writable {
+					t.Errorf("got a refusal with %d submissions queued, want none before %.0f, which can be written in time", queued, writable)
 				}
 				return
 			}
 		}
-		taken++
+		queued++
 	}
-	t.Error("500 submissions wait for a state service that takes 50 changes a second")
+	t.Error("got 500 submissions queued for a state service that takes 50 changes a second, want some refused")
 }
 
-// TestLeaderKeyCountsOnlyOnceWritten: a leader whose key was lost while promises
-// carried it sets it again. Where that transaction had no answer or was refused,
-// it kept the new lease up all the same and took it for the key, with which it
-// would have acted beside a successor.
+// TestLeaderKeyCountsOnlyOnceWritten guards against a leader that relies on a key that
+// wasn't written. A leader that loses its key while it still has a majority of promises
+// writes the key again. When that transaction had no answer or was refused, the leader
+// renewed the new lease all the same, took it for the key, and would have acted at the
+// same time as a successor.
 func TestLeaderKeyCountsOnlyOnceWritten(t *testing.T) {
 	for _, status := range []int{0, 409, 503} {
 		s := newSingleController()
@@ -377,108 +382,110 @@
 		s.leadership.ConfirmElection(0, 0)
 		s.leadership.RecordKeyLoss()
 		s.recreateKey()
-		answer := func(op StoreOp, d StoreResult) {
+		answer := func(op StoreOp, result StoreResult) {
 			t.Helper()
 			c, ok := findStoreCall(s.effects, op)
 			if !ok {
-				t.Fatalf("status %d: no call of %s", status, op)
+				t.Fatalf("status %d: got no call of %s, want one", status, op)
 			}
-			d.CallID = c.CallID
+			result.CallID = c.CallID
 			s.effects = nil
-			s.completeCall(c.CallID, d)
+			s.completeCall(c.CallID, result)
 		}
 		answer(StoreLease, StoreResult{Status: 200, Lease: 9})
 		answer(StoreTxn, StoreResult{Status: status})
 		s.renewKey()
 		if c, _ := findStoreCall(s.effects, StoreRenew); c.Lease != 7 {
-			t.Errorf("status %d: lease %d is kept up, though no key hangs on it", status, c.Lease)
+			t.Errorf("status %d: got a renewal of lease %d, want 7: no key is attached to the other lease", status, c.Lease)
 		}
 		if s.leadership.KeyValidUntil() != 0 {
-			t.Errorf("status %d: the key counts though it isn't set", status)
+			t.Errorf("status %d: got a key that counts, want none: it was not written", status)
 		}
 	}
 }
 
-// TestBackoffBoundedByLease: whatever fails, nobody waits longer than a lease for it: a
-// job whose tasks failed together on one machine waited for minutes beside
-// others with room.
+// TestBackoffBoundedByLease checks that no backoff is longer than a lease. Without that
+// limit, a job whose tasks had failed together on one machine waited for minutes while
+// other machines had free capacity.
 func TestBackoffBoundedByLease(t *testing.T) {
 	s := newSingleController()
 	s.cfg.ReportInterval, s.cfg.Lease = 6*time.Second, 31*time.Second
 	for n, want := range map[int]time.Duration{1: 6, 2: 12, 3: 24, 4: 31, 40: 31} {
 		if got := s.backoff(n); got != want*time.Second {
-			t.Errorf("after %d failures: %v, want %v s", n, got, int(want))
+			t.Errorf("after %d failures: got %v, want %v s", n, got, int(want))
 		}
 	}
 }
 
-// TestOverdueCancellations: a machine that still shows a withdrawn job's task is
-// given up after three fifths of the time allowed, also by a leader elected in
-// between, which first tries to stop it.
+// TestOverdueCancellations checks that a machine that still shows a cancelled job's task
+// counts as overdue after three fifths of the time allowed. So it does for a leader
+// elected in between, which first tries to stop the task.
 func TestOverdueCancellations(t *testing.T) {
 	for _, c := range []struct {
 		seen, elected, now float64
 		want               bool
 	}{
-		{10, 1, 27, false}, // 30 s are allowed
+		{10, 1, 27, false}, // 30 s are allowed, three fifths are 18 s
 		{10, 1, 29, true},
 		{10, 26, 27, false}, // just elected: the stop is under way
 		{10, 26, 30, true},
-		{26, 26, 30, false}, // this life has just read of it
+		{26, 26, 30, false}, // this controller has only just read of the cancellation
 	} {
 		s := newSingleController()
-		at := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-		s.now, s.electedAt = at(c.now), at(c.elected)
-		j := &job{Job: model.Job{ID: "req-000001"}, phase: model.PhaseAborted, finalSeenAt: at(c.seen)}
+		seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+		s.now, s.electedAt = seconds(c.now), seconds(c.elected)
+		j := &job{Job: model.Job{ID: "req-000001"}, phase: model.PhaseAborted, finalSeenAt: seconds(c.seen)}
 		s.jobs[j.ID] = j
 		bound, orphaned := s.ensureMachine("n-1"), s.ensureMachine("n-2")
 		bound.tasks["req-000001/0"] = &task{job: j}
 		orphaned.orphanedTasks["req-000001/1"] = model.TaskReport{Task: "req-000001/1"}
 		for _, m := range []*machine{bound, orphaned} {
 			if got := s.hasOverdueCancelledTasks(m); got != c.want {
-				t.Errorf("%s, seen at %v, elected at %v, now %v: given up: %v, want %v", m.host, c.seen, c.elected, c.now, got, c.want)
+				t.Errorf("%s, cancellation seen at %v, elected at %v, now %v: overdue: got %v, want %v", m.host, c.seen, c.elected, c.now, got, c.want)
 			}
 		}
 	}
 }
 
-// TestGangAttemptsAreNotMixed: tasks of different attempts never find each other, so a
-// leader that finds both stops them; and a machine on which a task of the
-// attempt has ended would take another start of it for a repeat.
+// TestGangAttemptsAreNotMixed checks that a leader that sees two attempts of a gang stops
+// both, since tasks of different attempts never find each other. It also checks that a
+// machine on which a task of an attempt has ended gets no other task of that attempt,
+// since it would take the start order for a duplicate.
 func TestGangAttemptsAreNotMixed(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact, s.caughtUp = true, true, true
 	s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
 	s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000001", Team: "t", Tasks: 3, Kind: model.KindGang}}), ModRevision: 5})
 	j := s.jobs["req-000001"]
-	shows := func(host string, index int, attempt uint64, state, cause string) *machine {
+	report := func(host string, index int, attempt uint64, state, cause string) *machine {
 		m := s.ensureMachine(host)
 		m.session = 1
 		s.applyTaskReport(m, model.TaskReport{Task: model.TaskName(j.ID, index), Attempt: attempt, State: state, Cause: cause}, &model.Report{Session: 1})
 		return m
 	}
-	a := shows("n-1", 0, 7, model.TaskGathering, "")
-	b := shows("n-2", 1, 7, model.TaskGathering, "")
-	if j.gang.aborting || !s.isGangSchedulable(j) || !s.allowed(j, a) || !s.allowed(j, b) {
-		t.Fatalf("two tasks of one attempt wait: %+v", j.gang)
+	first := report("n-1", 0, 7, model.TaskGathering, "")
+	second := report("n-2", 1, 7, model.TaskGathering, "")
+	if j.gang.aborting || !s.isGangSchedulable(j) || !s.allowed(j, first) || !s.allowed(j, second) {
+		t.Fatalf("two waiting tasks of one attempt: got %+v, want a gang that can be completed on either machine", j.gang)
 	}
-	shows("n-1", 0, 7, model.TaskExited, model.CauseNoCapacity)
-	if s.allowed(j, a) || !s.allowed(j, b) || !s.isGangSchedulable(j) {
-		t.Errorf("after a refusal by n-1: allowed there %v, on n-2 %v, a replacement may go %v", s.allowed(j, a), s.allowed(j, b), s.isGangSchedulable(j))
+	report("n-1", 0, 7, model.TaskExited, model.CauseNoCapacity)
+	if s.allowed(j, first) || !s.allowed(j, second) || !s.isGangSchedulable(j) {
+		t.Errorf("after a refusal by n-1: got allowed on n-1 %v, on n-2 %v, schedulable %v; want false, true, true", s.allowed(j, first), s.allowed(j, second), s.isGangSchedulable(j))
 	}
-	shows("n-3", 2, 9, model.TaskGathering, "")
-	for i, x := range j.tasks {
-		if !x.stopping {
-			t.Errorf("task %d of attempt %d goes on beside another attempt", i, x.attempt)
+	report("n-3", 2, 9, model.TaskGathering, "")
+	for i, other := range j.tasks {
+		if !other.stopping {
+			t.Errorf("task %d of attempt %d beside another attempt: got it running on, want it stopping", i, other.attempt)
 		}
 	}
 	if s.isGangSchedulable(j) {
-		t.Error("tasks are placed while both attempts are being ended")
+		t.Error("two attempts being stopped: got the gang schedulable, want it not schedulable")
 	}
 }
 
-// TestNewLeaderLearnsRentalTimes: a new leader doesn't know when machines were rented.
-// The list tells, and an idle one goes back without another minimum charge.
+// TestNewLeaderLearnsRentalTimes checks that a new leader, which doesn't know when
+// machines were rented, learns it from the cloud's list. So an idle machine is returned
+// without another minimum charge.
 func TestNewLeaderLearnsRentalTimes(t *testing.T) {
 	s := newSingleController()
 	s.types["small"] = &model.MachineType{Name: "small", BootS: 10}
@@ -487,14 +494,14 @@
 	s.now, s.electedAt = 100*time.Second, 90*time.Second
 	m.rentedAt, m.idleSince = s.electedAt, s.electedAt
 	if s.isIdleLongEnough(m) {
-		t.Error("given back before it is known that its minimum charge is used up")
+		t.Error("rental time not known yet: got an idle machine to return, want it kept until its minimum charge is used up")
 	}
 	s.applyListedMachine(model.ListedMachine{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 70})
 	if !s.isIdleLongEnough(m) {
-		t.Error("kept though the cloud says that it was rented 70 s ago")
+		t.Error("machine rented 70 s ago: got it kept, want it returned")
 	}
 	s.applyListedMachine(model.ListedMachine{Host: "n-1", Endpoint: "e", Type: "small", Zone: "a", State: "running", AgeS: 20})
 	if !s.isIdleLongEnough(m) {
-		t.Error("an older list made it younger")
+		t.Error("after an older list: got the machine kept, want it returned: its rental time must not move forward")
 	}
 }
