--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -41,10 +41,10 @@
 // applyBitmapKey merges finished tasks from a stored part of a chunk. The key ends in
 // the number of the chunk and, but for the first part, a dot and the number of the part.
 func (s *State) applyBitmapKey(name string, item Item) {
-	id, at, ok := strings.Cut(name, "/")
+	id, suffix, ok := strings.Cut(name, "/")
 	j := s.jobs[id]
-	first, _, _ := strings.Cut(at, ".")
-	number, err := strconv.Atoi(first)
+	chunkNumber, _, _ := strings.Cut(suffix, ".")
+	number, err := strconv.Atoi(chunkNumber)
 	if !ok || err != nil || j == nil || j.isFinal() {
 		return
 	}
@@ -58,13 +58,13 @@
 	}
 	target := j.chunk(number)
 	for i := range part {
-		at := value.From + i
-		wordIndex := number*chunkWords + at/8
-		if wordIndex >= len(j.doneBits) || at/8 >= len(target.durableBits) {
+		offset := value.From + i
+		wordIndex := number*chunkWords + offset/8
+		if wordIndex >= len(j.doneBits) || offset/8 >= len(target.durableBits) {
 			break
 		}
-		word := uint64(part[i]) << (8 * (at % 8))
-		target.durableBits[at/8] |= word
+		word := uint64(part[i]) << (8 * (offset % 8))
+		target.durableBits[offset/8] |= word
 		newBits := word &^ j.doneBits[wordIndex]
 		j.doneBits[wordIndex] |= word
 		j.doneCount += bits.OnesCount64(newBits)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -124,7 +124,7 @@
 		if s.budgetOverruns++; s.budgetOverruns%4 != 0 {
 			return
 		}
-		// Every fourth time preemption and draining run all the same.
+		// Preemption and draining run all the same after every fourth incomplete round.
 	}
 	s.preemptForQueue(queue, env)
 	if s.now >= s.nextDrainAt {
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -60,7 +60,7 @@
 	return option, free.Fits(need)
 }
 
-// pickVictims adds tasks to c, the least lost work first, until one more task of the job
+// pickVictims adds tasks to option, the least lost work first, until one more task of the job
 // fits. It returns the free resources after that.
 func (e *eviction) pickVictims(option *evictionOption, stoppable []*task, free sched.Resources) sched.Resources {
 	if len(stoppable) == 0 {
@@ -102,7 +102,7 @@
 
 // canStop reports whether t may be stopped for the job. Either t is less urgent, or the
 // job is within its team's guarantee and t belongs to another team that exceeds its own
-// guarantee. ending is what stops of earlier victims free of that team's usage.
+// guarantee. freed is the part of that team's usage that earlier victims free.
 func (e *eviction) canStop(t *task, freed sched.Resources) bool {
 	if t.stopping || t.job == e.job {
 		return false
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -41,7 +41,7 @@
 	nextIndex         int            // tasks from this index on haven't been started in this term
 	retryIndexes      []int          // tasks that have to be started again
 	queueEntry        *sched.Job
-	runTimes          []time.Duration // of its tasks that finished in this term, sorted
+	runTimes          []time.Duration // of tasks that this leader saw start and finish, sorted
 	lastTaskLostAt    time.Duration   // when a task was last requeued
 	gang              gangStatus
 	consecutiveErrors int           // tasks that exited with cause "error" in a row
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -16,8 +16,8 @@
 // init starts the numbers of forwarded requests in a range of this incarnation's own.
 // Otherwise a late reply to a previous incarnation could be taken for the reply to
 // another user's request.
-func (u *userRequests) init(boot uint64) {
-	u.forwarded, u.forwardSeq = map[uint64]*forwardedRequest{}, boot<<20
+func (u *userRequests) init(incarnation uint64) {
+	u.forwarded, u.forwardSeq = map[uint64]*forwardedRequest{}, incarnation<<20
 }
 
 // userRequestTimeout limits how long a user's change is tried. Users give up after 5 s,
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -40,18 +40,18 @@
 		}
 		need := t.job.need()
 		v.Free = v.Free.Sub(need)
-		end := sched.Never
+		endAt := sched.Never
 		if t.stopping {
-			end = s.now + time.Duration(t.graceS*float64(time.Second)) + time.Second
+			endAt = s.now + time.Duration(t.graceS*float64(time.Second)) + time.Second
 		} else if t.job.Kind != model.KindService {
-			begin := t.runningSince
+			startAt := t.runningSince
 			if t.state != model.TaskRunning {
-				begin = s.now
+				startAt = s.now
 				m.viewStale = true // the end moves until the task is running
 			}
-			end = begin + time.Duration(t.job.EstimateS*float64(time.Second))
+			endAt = startAt + time.Duration(t.job.EstimateS*float64(time.Second))
 		}
-		v.AddRunning(sched.RunningTask{Need: need, EndAt: end})
+		v.AddRunning(sched.RunningTask{Need: need, EndAt: endAt})
 	}
 	for name := range m.orphanedTasks {
 		if j := s.orphanedTaskJob(name); j != nil {
@@ -182,11 +182,11 @@
 	entry.Waiting--
 	need := entry.Need
 	v.Free = v.Free.Sub(need)
-	end := sched.Never
+	endAt := sched.Never
 	if !entry.IsService {
-		end = s.now + entry.Estimate
+		endAt = s.now + entry.Estimate
 	}
-	v.AddRunning(sched.RunningTask{Need: need, EndAt: end})
+	v.AddRunning(sched.RunningTask{Need: need, EndAt: endAt})
 	if !v.Images.Has(j.Image) {
 		found := false
 		for _, f := range v.Fetching {
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -214,13 +214,13 @@
 func (d *Dispatcher) reserveMachine(now time.Duration, j *Job, machines []*Machine, env Env) {
 	j.hasReservation = true
 	var best *Machine
-	soonest := Never
+	shortestWait := Never
 	for _, m := range machines {
 		if m.reserved || !m.Capacity.Fits(j.Need) || !env.Allowed(j, m) {
 			continue
 		}
-		if w := m.EstimateWait(now, j); w < soonest {
-			best, soonest = m, w
+		if w := m.EstimateWait(now, j); w < shortestWait {
+			best, shortestWait = m, w
 		}
 	}
 	if best != nil {
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -18,6 +18,7 @@
 	holdersKnown bool
 }
 
+// rankedMachine is a machine with what decides its rank.
 type rankedMachine struct {
 	machine  *Machine
 	hasImage bool
@@ -44,6 +45,8 @@
 	return x
 }
 
+// newMachineRanking ranks those of the given machines on which a task of j may be
+// placed now.
 func newMachineRanking(now time.Duration, j *Job, withCapacity []*Machine, env Env) *machineRanking {
 	ranking := &machineRanking{now: now, job: j}
 	for _, m := range withCapacity {
@@ -111,6 +114,7 @@
 	return best, shortestWait
 }
 
+// addHolder adds m to the holders, with the estimated wait for it.
 func (r *machineRanking) addHolder(m *Machine) {
 	if w := m.EstimateWait(r.now, r.job); w < Never {
 		r.holders = append(r.holders, rankedMachine{machine: m, delay: max(w, m.fetchTime(r.now, r.job))})
