--- a/cmd/mulleinfall/main.go
+++ b/cmd/mulleinfall/main.go
@@ -1,5 +1,5 @@
-// Command mulleinfall is a cluster scheduler: it takes jobs from users, rents
-// machines and decides what runs where.
+// Command mulleinfall is a cluster scheduler: it accepts jobs from users, rents
+// machines in the cloud and assigns tasks to machines.
 package main
 
 import (
@@ -23,6 +23,7 @@
 
 var version = "0.1.0"
 
+// flags describes the command line to the kong library.
 type flags struct {
 	Config   string           `help:"Settings file of the platform (JSON)." placeholder:"PATH" required:""`
 	Operator string           `help:"Operators' own settings (HCL)." placeholder:"PATH" env:"MULLEINFALL_OPERATOR"`
@@ -33,57 +34,61 @@
 }
 
 func main() {
-	var f flags
-	k := kong.Parse(&f, kong.Name("mulleinfall"), kong.Description("A cluster scheduler that sends work to where its image is."),
+	var options flags
+	parsed := kong.Parse(&options, kong.Name("mulleinfall"), kong.Description("A cluster scheduler that sends work to where its image is."),
 		kong.Vars{"version": version}, kong.UsageOnError(),
 		kong.Exit(func(code int) {
 			if code != 0 {
-				code = 2 // wrong arguments are wrong settings
+				code = 2 // wrong arguments exit like wrong settings
 			}
 			os.Exit(code)
 		}))
 	setUpLogging(os.Getenv("LOG_LEVEL"))
-	set, err := config.Load(f.Config, f.Operator)
+	settings, err := config.Load(options.Config, options.Operator)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mulleinfall:", err)
 		os.Exit(2)
 	}
-	for _, w := range set.Warnings() {
-		slog.Warn(w)
+	for _, warning := range settings.Warnings() {
+		slog.Warn(warning)
 	}
-	if k.Command() == "check" {
+	if parsed.Command() == "check" {
 		fmt.Println("settings are in order")
 		return
 	}
-	if err := serve(set); err != nil {
+	if err := serve(settings); err != nil {
 		slog.Error("stopped", "error", err)
 		os.Exit(1)
 	}
 }
 
+// setUpLogging logs to standard error at the given level: error, info (the
+// default) or debug.
 func setUpLogging(level string) {
-	l := slog.LevelInfo
+	minLevel := slog.LevelInfo
 	switch strings.ToLower(level) {
 	case "error":
-		l = slog.LevelError
+		minLevel = slog.LevelError
 	case "debug":
-		l = slog.LevelDebug
+		minLevel = slog.LevelDebug
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: minLevel})))
 }
 
-func serve(set *config.Settings) error {
-	lim := &set.Params.Limits
-	// The limit counts what the process holds in all; the runtime is told to
-	// stay well below, and collects rarely as long as it does.
-	debug.SetMemoryLimit(int64(lim.MemoryMB * 0.7 * (1 << 20)))
+// serve runs a controller until it is interrupted or terminated.
+func serve(settings *config.Settings) error {
+	limits := &settings.Params.Limits
+	// The memory limit of the platform covers the whole process, not just the heap,
+	// so the soft limit of the Go runtime is 70 % of it. Below the soft limit the
+	// garbage collector runs rarely, which saves processor time.
+	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(300)
-	runtime.GOMAXPROCS(max(1, int(lim.CoreShare+0.5)))
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
+	runtime.GOMAXPROCS(max(1, int(limits.CoreShare+0.5)))
+	var incarnation [8]byte
+	if _, err := rand.Read(incarnation[:]); err != nil {
 		return fmt.Errorf("random seed: %w", err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.New(set, binary.LittleEndian.Uint64(b[:])).Run(ctx)
+	return node.New(settings, binary.LittleEndian.Uint64(incarnation[:])).Run(ctx)
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,22 +6,22 @@
 	"net"
 )
 
-// Least amounts with which the service can work.
+// Bounds of the platform's settings within which the service works.
 const (
-	minMemoryMB           = 24 // some 20 MB are resident at rest
-	minTxnOps             = 2  // a change and what is removed along with it
+	minMemoryMB           = 24 // an idle process has about 20 MB resident
+	minTxnOps             = 2  // a change, and the removal of a key that it makes obsolete
 	minValueKB            = 6
-	minNextValueKB        = 2 // a job's description and a bitmap's part still fit
-	minReportsPerLease    = 2 // reports in a lease
-	minReportsPerGangWait = 2 // reports while a gang's tasks wait for one another
-	maxLeasesPerGangWait  = 100
+	minNextValueKB        = 2   // a job's description and one part of a task bitmap still fit
+	minReportsPerLease    = 2   // worker reports during a lease
+	minReportsPerGangWait = 2   // worker reports while the tasks of a gang wait for one another
+	maxLeasesPerGangWait  = 100 // worker leases while the tasks of a gang wait for one another
 )
 
-// check looks at everything before anything runs. The error names field and
+// check validates all settings of the platform. Its error names the field and the
 // reason.
 func (p *Platform) check() error {
-	for _, part := range []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
-		if err := part(); err != nil {
+	for _, check := range []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
+		if err := check(); err != nil {
 			return err
 		}
 	}
@@ -54,22 +54,22 @@
 
 func (p *Platform) checkPeers() error {
 	seen := map[string]bool{p.Name: true}
-	for i, o := range p.Peers {
-		if o.Name == "" || seen[o.Name] {
-			return fmt.Errorf("others[%d].node_name: %q is empty or stands twice", i, o.Name)
+	for i, peer := range p.Peers {
+		if peer.Name == "" || seen[peer.Name] {
+			return fmt.Errorf("others[%d].node_name: %q is empty or stands twice", i, peer.Name)
 		}
-		seen[o.Name] = true
-		if err := checkAddress(fmt.Sprintf("others[%d].peer_addr", i), o.Addr); err != nil {
+		seen[peer.Name] = true
+		if err := checkAddress(fmt.Sprintf("others[%d].peer_addr", i), peer.Addr); err != nil {
 			return err
 		}
 	}
-	if n := p.Params.Nodes; n != 0 && n != len(p.Peers)+1 {
-		return fmt.Errorf("facts.count: %d, but others names %d", n, len(p.Peers))
+	if count := p.Params.Nodes; count != 0 && count != len(p.Peers)+1 {
+		return fmt.Errorf("facts.count: %d, but others names %d", count, len(p.Peers))
 	}
 	return nil
 }
 
-// numericField is a number in the settings and the least that it may be.
+// numericField is a number in the settings and its lower bound.
 type numericField struct {
 	field string
 	value float64
@@ -77,14 +77,14 @@
 }
 
 func (p *Platform) checkNumbers() error {
-	f := &p.Params
+	params := &p.Params
 	for _, a := range []numericField{
-		{"facts.workers.report_s", f.Workers.ReportS, 0}, {"facts.workers.lease_s", f.Workers.LeaseS, 0}, {"facts.workers.cancel_s", f.Workers.CancelS, 0},
-		{"facts.state.rps", f.State.RPS, 0}, {"facts.state.write_rps", f.State.WriteRPS, 0},
-		{"facts.state.value_kb", f.State.ValueKB, minValueKB}, {"facts.state.txn_ops", float64(f.State.TxnOps), minTxnOps},
-		{"facts.cloud.rps", f.Cloud.RPS, 0},
-		{"facts.quota.core_share", f.Limits.CoreShare, 0}, {"facts.quota.ram_mb", f.Limits.MemoryMB, minMemoryMB},
-		{"facts.quota.fd_limit", float64(f.Limits.Files), 0},
+		{"facts.workers.report_s", params.Workers.ReportS, 0}, {"facts.workers.lease_s", params.Workers.LeaseS, 0}, {"facts.workers.cancel_s", params.Workers.CancelS, 0},
+		{"facts.state.rps", params.State.RPS, 0}, {"facts.state.write_rps", params.State.WriteRPS, 0},
+		{"facts.state.value_kb", params.State.ValueKB, minValueKB}, {"facts.state.txn_ops", float64(params.State.TxnOps), minTxnOps},
+		{"facts.cloud.rps", params.Cloud.RPS, 0},
+		{"facts.quota.core_share", params.Limits.CoreShare, 0}, {"facts.quota.ram_mb", params.Limits.MemoryMB, minMemoryMB},
+		{"facts.quota.fd_limit", float64(params.Limits.Files), 0},
 	} {
 		if !(a.value > 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is not above 0", a.field, a.value)
@@ -93,46 +93,46 @@
 			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.min)
 		}
 	}
-	for _, a := range []numericField{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: f.Cloud.ListLagS}} {
+	for _, a := range []numericField{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: params.Cloud.ListLagS}} {
 		if !(a.value >= 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
 		}
 	}
-	if f.Workers.LeaseS < minReportsPerLease*f.Workers.ReportS {
-		return fmt.Errorf("facts.workers.lease_s: %v is less than two reports", f.Workers.LeaseS)
+	if params.Workers.LeaseS < minReportsPerLease*params.Workers.ReportS {
+		return fmt.Errorf("facts.workers.lease_s: %v is less than two reports", params.Workers.LeaseS)
 	}
 	return nil
 }
 
-// checkGangTimes checks the times of gangs, which are given together or not at
-// all: without them gangs are refused.
+// checkGangTimes checks the two gang timeouts. They must be given together or not
+// at all; without them, gangs are refused.
 func (p *Platform) checkGangTimes() error {
-	w := &p.Params.Workers
+	workers := &p.Params.Workers
 	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
-	for _, a := range []numericField{{field: wait, value: w.GangWaitS}, {field: peer, value: w.GangPeerS}} {
+	for _, a := range []numericField{{field: wait, value: workers.GangWaitS}, {field: peer, value: workers.GangPeerS}} {
 		if !(a.value >= 0) || math.IsInf(a.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
 		}
 	}
 	switch {
-	case w.GangWaitS == 0 && w.GangPeerS == 0:
+	case workers.GangWaitS == 0 && workers.GangPeerS == 0:
 		return nil
-	case w.GangWaitS == 0:
+	case workers.GangWaitS == 0:
 		return fmt.Errorf("%s: missing beside gang_peer_s", wait)
-	case w.GangPeerS == 0:
+	case workers.GangPeerS == 0:
 		return fmt.Errorf("%s: missing beside gang_wait_s", peer)
-	case w.GangWaitS < minReportsPerGangWait*w.ReportS:
-		return fmt.Errorf("%s: %v is less than two reports", wait, w.GangWaitS)
-	case w.GangWaitS > maxLeasesPerGangWait*w.LeaseS:
-		return fmt.Errorf("%s: %v is more than %d leases", wait, w.GangWaitS, maxLeasesPerGangWait)
-	case w.GangPeerS > w.LeaseS:
-		return fmt.Errorf("%s: %v is longer than lease_s", peer, w.GangPeerS)
+	case workers.GangWaitS < minReportsPerGangWait*workers.ReportS:
+		return fmt.Errorf("%s: %v is less than two reports", wait, workers.GangWaitS)
+	case workers.GangWaitS > maxLeasesPerGangWait*workers.LeaseS:
+		return fmt.Errorf("%s: %v is more than %d leases", wait, workers.GangWaitS, maxLeasesPerGangWait)
+	case workers.GangPeerS > workers.LeaseS:
+		return fmt.Errorf("%s: %v is longer than lease_s", peer, workers.GangPeerS)
 	}
 	return nil
 }
 
-// checkNextLimits checks the limits that the state service will have later; 0
-// stands for no other than now.
+// checkNextLimits checks the limits that the state service will switch to later. 0
+// means that a limit does not change.
 func (p *Platform) checkNextLimits() error {
 	next := &p.Params.State.Next
 	for _, a := range []numericField{
@@ -150,12 +150,12 @@
 }
 
 func (p *Platform) checkTeams() error {
-	for i, t := range p.Params.Teams {
-		if t.Name == "" {
+	for i, team := range p.Params.Teams {
+		if team.Name == "" {
 			return fmt.Errorf("facts.teams[%d].name: missing", i)
 		}
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("facts.teams[%d]: amounts of %q are below 0", i, t.Name)
+		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+			return fmt.Errorf("facts.teams[%d]: amounts of %q are below 0", i, team.Name)
 		}
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the settings: the platform's JSON file, which names
-// this controller and describes its deployment, and the operators' optional
-// HCL file, which tunes how it serves. Both are checked before anything runs.
+// Package config reads the settings. The platform's JSON file names this
+// controller and describes its deployment; the operators' optional HCL file
+// tunes the scheduler. Both files are checked before the controller starts.
 package config
 
 import (
@@ -13,8 +13,8 @@
 	"mulleinfall/internal/core"
 )
 
-// Platform is the file that the platform hands over. Unknown fields are
-// ignored: new ones may come.
+// Platform is the content of the platform's settings file. Unknown fields are
+// ignored, because later versions of the platform may add some.
 type Platform struct {
 	Name     string `json:"node_name"`
 	APIAddr  string `json:"api_addr"`
@@ -27,14 +27,15 @@
 	Params struct {
 		Nodes int    `json:"count"`
 		Teams []Team `json:"teams"`
-		// Objectives repeat the aims on starting and finishing.
+		// Objectives are the targets for how soon jobs start and finish.
 		Objectives []Objective `json:"objectives"`
 		Workers    struct {
 			ReportS float64 `json:"report_s"`
 			LeaseS  float64 `json:"lease_s"`
 			CancelS float64 `json:"cancel_s"`
-			// A gang's task waits so long for the others, and notices so soon
-			// that one is gone. Both 0: not given, and gangs are refused.
+			// GangWaitS is how long a task of a gang waits for the others to be ready.
+			// GangPeerS is how soon a running task notices that another one is gone.
+			// Both are 0 if they are not given; gangs are refused then.
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
@@ -43,8 +44,8 @@
 			WriteRPS float64 `json:"write_rps"`
 			ValueKB  float64 `json:"value_kb"`
 			TxnOps   int     `json:"txn_ops"`
-			// Next holds the limits that the state service will have at some
-			// later time, without notice; 0: no other than now.
+			// Next holds the limits that the state service will switch to at a later
+			// time without notice. 0 means that a limit stays as it is.
 			Next struct {
 				WriteRPS float64 `json:"write_rps"`
 				ValueKB  float64 `json:"value_kb"`
@@ -70,7 +71,7 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Team is a team's guarantee and limit.
+// Team is a team's guaranteed resources and its limits.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -79,7 +80,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is an aim for a class of jobs. Kinds that we don't know are
+// Objective is a target for a class of jobs. Objectives of an unknown kind are
 // ignored.
 type Objective struct {
 	Kind    string  `json:"kind"`
@@ -88,37 +89,37 @@
 	Times   float64 `json:"times"`
 }
 
-// Settings is everything, checked.
+// Settings is the checked content of both files.
 type Settings struct {
 	Platform
 	Tuning      core.Tuning
-	RoundBudget time.Duration // of one round of decisions
+	RoundBudget time.Duration // processing time that one scheduling round may take
 }
 
-// Load reads and checks both files; operator may be empty. The error is one
-// line that names file, field and reason.
-func Load(platform, operator string) (*Settings, error) {
-	b, err := os.ReadFile(platform)
+// Load reads and checks both files; operatorPath may be empty. Its error is one
+// line that names the file, the field and the reason.
+func Load(platformPath, operatorPath string) (*Settings, error) {
+	b, err := os.ReadFile(platformPath)
 	if err != nil {
 		return nil, err
 	}
 	s := &Settings{Tuning: core.DefaultTuning()}
 	if err := json.Unmarshal(b, &s.Platform); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("%s: %s: want %s, not a JSON %s", platform, te.Field, te.Type, te.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("%s: %s: want %s, not a JSON %s", platformPath, typeErr.Field, typeErr.Type, typeErr.Value)
 		}
-		return nil, fmt.Errorf("%s: not valid JSON: %w", platform, err)
+		return nil, fmt.Errorf("%s: not valid JSON: %w", platformPath, err)
 	}
 	if err := s.Platform.check(); err != nil {
-		return nil, fmt.Errorf("%s: %w", platform, err)
+		return nil, fmt.Errorf("%s: %w", platformPath, err)
 	}
-	if k := s.SocketLimits(); k.Public < k.Other {
-		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platform, s.Params.Limits.Files, len(s.Peers)+1)
+	if limits := s.SocketLimits(); limits.Public < limits.Other {
+		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platformPath, s.Params.Limits.Files, len(s.Peers)+1)
 	}
 	s.RoundBudget = seconds(s.Params.Workers.ReportS) / 30
-	if operator != "" {
-		if err := s.applyOperatorFile(operator); err != nil {
+	if operatorPath != "" {
+		if err := s.applyOperatorFile(operatorPath); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,20 +29,21 @@
 }
 
 func TestLoad(t *testing.T) {
-	s, err := Load(writeFile(t, "s.json", validPlatform), writeFile(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
+	settings, err := Load(writeFile(t, "s.json", validPlatform), writeFile(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.CoreConfig(1)
-	if c.SkipLimit != 7 || c.IdleBoots != 3 || c.BitmapWriteInterval != 2*time.Second {
-		t.Errorf("operator's settings: %+v", c.Tuning)
+	cfg := settings.CoreConfig(1)
+	if cfg.SkipLimit != 7 || cfg.IdleBoots != 3 || cfg.BitmapWriteInterval != 2*time.Second {
+		t.Errorf("operator's settings: got %+v, want SkipLimit 7, IdleBoots 3 and BitmapWriteInterval 2s", cfg.Tuning)
 	}
-	if s.RoundBudget != 100*time.Millisecond || c.Lease != 20*time.Second || c.Teams["t"].Limit.CPUs != 4 || len(c.Peers) != 1 {
-		t.Errorf("platform's settings: budget %v, %+v", s.RoundBudget, c)
+	if settings.RoundBudget != 100*time.Millisecond || cfg.Lease != 20*time.Second || cfg.Teams["t"].Limit.CPUs != 4 || len(cfg.Peers) != 1 {
+		t.Errorf("platform's settings: got RoundBudget %v and %+v, want RoundBudget 100ms, Lease 20s, limit of 4 CPUs for team t and one peer", settings.RoundBudget, cfg)
 	}
 }
 
-// TestLoadRejectsInvalidSettings expects one line that names file, field and reason.
+// TestLoadRejectsInvalidSettings checks that the error for an invalid setting is one
+// line that names the file, the field and the reason.
 func TestLoadRejectsInvalidSettings(t *testing.T) {
 	cases := []struct{ from, to, operator, want string }{
 		{`"node_name": "c0"`, `"node_name": ""`, "", "s.json: node_name: missing"},
@@ -71,39 +72,39 @@
 		{``, ``, "state {\n write_every_s = 0\n}\n", "state.write_every_s: 0 is not within 0.001 and 60"},
 	}
 	for _, c := range cases {
-		op := ""
+		operatorPath := ""
 		if c.operator != "" {
-			op = writeFile(t, "o.hcl", c.operator)
+			operatorPath = writeFile(t, "o.hcl", c.operator)
 		}
-		_, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, c.from, c.to, 1)), op)
+		_, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, c.from, c.to, 1)), operatorPath)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q -> %q: got %v, want one line with %q", c.from, c.to, err, c.want)
 		}
 	}
 }
 
-// TestSocketLimitsAddUp: what the parts may take together is what there is, and all
-// machines of a fleet find a socket at one controller: 1,785 machines once took
-// all the public ones.
+// TestSocketLimitsAddUp checks that the parts add up to the file descriptor limit, and
+// that the public part is large enough for all machines of a fleet to connect to one
+// controller: 1,785 machines once occupied all public sockets.
 func TestSocketLimitsAddUp(t *testing.T) {
 	for _, files := range []int{100, 500, 1000, 1200, 2446, 3163, 100_000} {
 		for peers := range 5 {
 			var s Settings
 			s.Params.Limits.Files = files
 			s.Peers = make([]Peer, peers)
-			k := s.SocketLimits()
-			if sum := k.Public + k.DirectCommands + k.IdleWorkers + k.Other; sum != files || k.DirectCommands < 1 || k.Other < 16+6*peers {
-				t.Errorf("%d sockets, %d peers: %+v make %d", files, peers, k, sum)
+			limits := s.SocketLimits()
+			if sum := limits.Public + limits.DirectCommands + limits.IdleWorkers + limits.Other; sum != files || limits.DirectCommands < 1 || limits.Other < 16+6*peers {
+				t.Errorf("fd_limit %d, %d peers: got %+v with sum %d, want the sum to be fd_limit, DirectCommands at least 1 and Other at least 16 plus 6 for each peer", files, peers, limits, sum)
 			}
-			if files >= 1000 && k.Public < files*4/5 {
-				t.Errorf("%d sockets: %+v leave few for the workers", files, k)
+			if files >= 1000 && limits.Public < files*4/5 {
+				t.Errorf("fd_limit %d: got %+v, want Public of at least four fifths", files, limits)
 			}
 		}
 	}
 }
 
-// TestWarnings: settings with too little time between lease and cancellation are
-// taken, but whoever runs them is told what can't be promised.
+// TestWarnings checks that settings whose cancel_s is too short compared with lease_s
+// are accepted, with a warning that names the guarantee that cannot be given.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct {
 		cancel string
@@ -115,7 +116,7 @@
 		}
 		got := s.Warnings()
 		if (len(got) > 0) != c.want || c.want && !strings.HasPrefix(got[0], "facts.workers.cancel_s: "+c.cancel+"s is less than") {
-			t.Errorf("lease_s 20, cancel_s %s: %q, want a warning: %v", c.cancel, got, c.want)
+			t.Errorf("lease_s 20, cancel_s %s: got warnings %q, want a warning: %v", c.cancel, got, c.want)
 		}
 	}
 }
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -7,75 +7,75 @@
 	"mulleinfall/internal/sched"
 )
 
-// CoreConfig is the part of the settings that the core needs. Boot differs between
-// lives of the process.
-func (s *Settings) CoreConfig(boot uint64) core.Config {
-	p := &s.Params
-	c := core.Config{
-		Self: s.Name, Incarnation: boot, Teams: map[string]core.Team{},
-		ReportInterval: seconds(p.Workers.ReportS), Lease: seconds(p.Workers.LeaseS), CancelWithin: seconds(p.Workers.CancelS),
-		MaxClockSkew: seconds(p.SkewMS / 1000),
-		StoreRPS:     p.State.RPS, StoreWriteRPS: p.State.WriteRPS,
-		MaxValueBytes: int(p.State.ValueKB * 1024), MaxTxnOps: p.State.TxnOps,
-		GangWaitTimeout: seconds(p.Workers.GangWaitS), GangPeerTimeout: seconds(p.Workers.GangPeerS),
+// CoreConfig returns the part of the settings that the core needs. The
+// incarnation number differs each time the process is started.
+func (s *Settings) CoreConfig(incarnation uint64) core.Config {
+	params := &s.Params
+	cfg := core.Config{
+		Self: s.Name, Incarnation: incarnation, Teams: map[string]core.Team{},
+		ReportInterval: seconds(params.Workers.ReportS), Lease: seconds(params.Workers.LeaseS), CancelWithin: seconds(params.Workers.CancelS),
+		MaxClockSkew: seconds(params.SkewMS / 1000),
+		StoreRPS:     params.State.RPS, StoreWriteRPS: params.State.WriteRPS,
+		MaxValueBytes: int(params.State.ValueKB * 1024), MaxTxnOps: params.State.TxnOps,
+		GangWaitTimeout: seconds(params.Workers.GangWaitS), GangPeerTimeout: seconds(params.Workers.GangPeerS),
 		Version:  core.NewestVersion,
-		CloudRPS: p.Cloud.RPS, ListLag: seconds(p.Cloud.ListLagS),
+		CloudRPS: params.Cloud.RPS, ListLag: seconds(params.Cloud.ListLagS),
 		MaxDirectCommands: s.SocketLimits().DirectCommands, MaxRequests: s.SocketLimits().Public,
 		Tuning: s.Tuning, Goals: map[string]core.Goal{},
 	}
-	s.applyNextLimits(&c)
-	s.addGoals(&c)
-	for _, o := range s.Peers {
-		c.Peers = append(c.Peers, o.Name)
+	s.applyNextLimits(&cfg)
+	s.addGoals(&cfg)
+	for _, peer := range s.Peers {
+		cfg.Peers = append(cfg.Peers, peer.Name)
 	}
-	for _, t := range p.Teams {
-		c.Teams[t.Name] = core.Team{
-			Guaranteed: sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs},
-			Limit:      sched.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax},
+	for _, team := range params.Teams {
+		cfg.Teams[team.Name] = core.Team{
+			Guaranteed: sched.Resources{CPUs: team.CPUs, GPUs: team.GPUs},
+			Limit:      sched.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax},
 		}
 	}
-	return c
+	return cfg
 }
 
-// Warnings are what the service can't promise with these settings.
+// Warnings names the guarantees that the service cannot give with these settings.
 func (s *Settings) Warnings() []string {
-	c := s.CoreConfig(0)
-	if bound := c.CancelBound(); len(c.Peers) > 0 && bound > c.CancelWithin {
-		return []string{fmt.Sprintf("facts.workers.cancel_s: %v is less than the %v that tasks of a cancelled job may take to be gone under failures: at least six fifths of lease_s are needed", c.CancelWithin, bound)}
+	cfg := s.CoreConfig(0)
+	if bound := cfg.CancelBound(); len(cfg.Peers) > 0 && bound > cfg.CancelWithin {
+		return []string{fmt.Sprintf("facts.workers.cancel_s: %v is less than the %v that tasks of a cancelled job may take to be gone under failures: at least six fifths of lease_s are needed", cfg.CancelWithin, bound)}
 	}
 	return nil
 }
 
-// applyNextLimits takes the smaller of the state service's limits now and later
-// from the start: the change comes without notice, and a value that was too large
-// by then could not be written.
-func (s *Settings) applyNextLimits(c *core.Config) {
+// applyNextLimits replaces each limit of the state service by the smaller of its
+// current and its announced later value. The limits change without notice, and a
+// value that exceeds the later limit could not be written any more.
+func (s *Settings) applyNextLimits(cfg *core.Config) {
 	next := &s.Params.State.Next
 	if next.WriteRPS > 0 {
-		c.StoreWriteRPS = min(c.StoreWriteRPS, next.WriteRPS)
+		cfg.StoreWriteRPS = min(cfg.StoreWriteRPS, next.WriteRPS)
 	}
 	if next.ValueKB > 0 {
-		c.MaxValueBytes = min(c.MaxValueBytes, int(next.ValueKB*1024))
+		cfg.MaxValueBytes = min(cfg.MaxValueBytes, int(next.ValueKB*1024))
 	}
 	if next.TxnOps > 0 {
-		c.MaxTxnOps = min(c.MaxTxnOps, next.TxnOps)
+		cfg.MaxTxnOps = min(cfg.MaxTxnOps, next.TxnOps)
 	}
 }
 
-// addGoals takes what is expected of each class of jobs: the most demanding of
-// each kind of aim.
-func (s *Settings) addGoals(c *core.Config) {
-	for _, o := range s.Params.Objectives {
-		g := c.Goals[o.Class]
-		within := seconds(o.WithinS)
+// addGoals adds the objectives of each class of jobs. If a class has several
+// finish or deadline objectives, the strictest of each kind applies.
+func (s *Settings) addGoals(cfg *core.Config) {
+	for _, objective := range s.Params.Objectives {
+		goal := cfg.Goals[objective.Class]
+		within := seconds(objective.WithinS)
 		switch {
-		case o.Kind == "wait" && within > 0:
-			g.StartWithin = within
-		case o.Kind == "finished" && within > 0 && (g.FinishWithin == 0 || within < g.FinishWithin):
-			g.FinishWithin = within
-		case o.Kind == "deadline" && o.Times > 0 && (g.DueFactor == 0 || o.Times < g.DueFactor):
-			g.DueFactor = o.Times
+		case objective.Kind == "wait" && within > 0:
+			goal.StartWithin = within
+		case objective.Kind == "finished" && within > 0 && (goal.FinishWithin == 0 || within < goal.FinishWithin):
+			goal.FinishWithin = within
+		case objective.Kind == "deadline" && objective.Times > 0 && (goal.DueFactor == 0 || objective.Times < goal.DueFactor):
+			goal.DueFactor = objective.Times
 		}
-		c.Goals[o.Class] = g
+		cfg.Goals[objective.Class] = goal
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,26 +9,26 @@
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// OperatorSettings is the operators' own file. Whatever it leaves out keeps its
-// default.
+// OperatorSettings is the content of the operators' settings file. Settings that it
+// leaves out keep their defaults.
 type OperatorSettings struct {
 	Dispatch *DispatchSettings `hcl:"dispatch,block"`
 	State    *StateSettings    `hcl:"state,block"`
 	Fleet    *FleetSettings    `hcl:"fleet,block"`
 }
 
-// DispatchSettings tunes the dispatch rule.
+// DispatchSettings tunes how tasks are assigned to machines.
 type DispatchSettings struct {
 	SkipLimit *int     `hcl:"skip_limit,optional"`
 	BudgetMS  *float64 `hcl:"budget_ms,optional"`
 }
 
-// StateSettings tunes what is written to the state service.
+// StateSettings tunes the writes to the state service.
 type StateSettings struct {
 	WriteEveryS *float64 `hcl:"write_every_s,optional"`
 }
 
-// FleetSettings tunes renting and returning.
+// FleetSettings tunes when machines are rented from the cloud and returned to it.
 type FleetSettings struct {
 	IdleBoots     *float64 `hcl:"idle_boots,optional"`
 	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`
@@ -38,16 +38,16 @@
 	MaxMachines   *int     `hcl:"max_machines,optional"`
 }
 
-// setting is a value of the operators' file with its bounds, both included.
+// setting is one value of the operators' file with its inclusive bounds.
 type setting[T int | float64] struct {
 	field string
-	value *T // nil: left out
+	value *T // nil if the file leaves it out
 	min   T
 	max   T
 	set   func(T)
 }
 
-// apply checks the value, if there is one, and puts it to use.
+// apply checks the value and sets it, if the file contains it.
 func (s setting[T]) apply() error {
 	if s.value == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Bounds of what operators may set.
+// Bounds of the operators' settings.
 const (
 	minBudgetMS       = 0.001
 	maxBudgetMS       = 10_000
@@ -69,13 +69,13 @@
 	maxCount          = 1_000_000
 )
 
-// applyOperatorFile puts the operators' file to use.
+// applyOperatorFile reads the operators' file, checks it and sets its values.
 func (s *Settings) applyOperatorFile(path string) error {
-	var o OperatorSettings
-	if err := hclsimple.DecodeFile(path, nil, &o); err != nil {
+	var operator OperatorSettings
+	if err := hclsimple.DecodeFile(path, nil, &operator); err != nil {
 		return singleLineError(path, err)
 	}
-	for _, apply := range s.operatorAppliers(&o) {
+	for _, apply := range s.operatorAppliers(&operator) {
 		if err := apply(); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
@@ -83,44 +83,45 @@
 	return nil
 }
 
-// singleLineError makes one line of what the parser says.
+// singleLineError formats the first error of the HCL parser as a single line.
 func singleLineError(path string, err error) error {
 	var diagnostics hcl.Diagnostics
 	if !errors.As(err, &diagnostics) || len(diagnostics) == 0 {
 		return err
 	}
-	d := diagnostics[0]
-	where := path
-	if d.Subject != nil {
-		where = fmt.Sprintf("%s:%d", path, d.Subject.Start.Line)
+	first := diagnostics[0]
+	location := path
+	if first.Subject != nil {
+		location = fmt.Sprintf("%s:%d", path, first.Subject.Start.Line)
 	}
-	return fmt.Errorf("%s: %s: %s", where, d.Summary, strings.ReplaceAll(d.Detail, "\n", " "))
+	return fmt.Errorf("%s: %s: %s", location, first.Summary, strings.ReplaceAll(first.Detail, "\n", " "))
 }
 
-// operatorAppliers lists the checks of all that the file may set.
-func (s *Settings) operatorAppliers(o *OperatorSettings) []func() error {
-	t := &s.Tuning
-	var list []func() error
-	if d := o.Dispatch; d != nil {
-		list = append(list,
-			setting[int]{"dispatch.skip_limit", d.SkipLimit, 0, maxCount, func(v int) { t.SkipLimit = v }}.apply,
+// operatorAppliers returns one function for each setting that the file may contain.
+// Each function checks its setting and sets it.
+func (s *Settings) operatorAppliers(operator *OperatorSettings) []func() error {
+	tuning := &s.Tuning
+	var appliers []func() error
+	if d := operator.Dispatch; d != nil {
+		appliers = append(appliers,
+			setting[int]{"dispatch.skip_limit", d.SkipLimit, 0, maxCount, func(v int) { tuning.SkipLimit = v }}.apply,
 			setting[float64]{"dispatch.budget_ms", d.BudgetMS, minBudgetMS, maxBudgetMS, func(v float64) { s.RoundBudget = seconds(v / 1000) }}.apply,
 		)
 	}
-	if d := o.State; d != nil {
-		list = append(list,
-			setting[float64]{"state.write_every_s", d.WriteEveryS, minWriteIntervalS, maxWriteIntervalS, func(v float64) { t.BitmapWriteInterval = seconds(v) }}.apply,
+	if d := operator.State; d != nil {
+		appliers = append(appliers,
+			setting[float64]{"state.write_every_s", d.WriteEveryS, minWriteIntervalS, maxWriteIntervalS, func(v float64) { tuning.BitmapWriteInterval = seconds(v) }}.apply,
 		)
 	}
-	if f := o.Fleet; f != nil {
-		list = append(list,
-			setting[float64]{"fleet.idle_boots", f.IdleBoots, 0, maxBoots, func(v float64) { t.IdleBoots = v }}.apply,
-			setting[float64]{"fleet.give_up_boots", f.GiveUpBoots, 1, maxBoots, func(v float64) { t.GiveUpBoots = v }}.apply,
-			setting[float64]{"fleet.patience", f.Patience, 0, 1, func(v float64) { t.Patience = v }}.apply,
-			setting[int]{"fleet.spare_services", f.SpareServices, 0, maxCount, func(v int) { t.SpareServices = v }}.apply,
-			setting[int]{"fleet.spare_gangs", f.SpareGangs, 0, maxCount, func(v int) { t.SpareGangs = v }}.apply,
-			setting[int]{"fleet.max_machines", f.MaxMachines, 1, maxCount, func(v int) { t.MaxMachines = v }}.apply,
+	if fleet := operator.Fleet; fleet != nil {
+		appliers = append(appliers,
+			setting[float64]{"fleet.idle_boots", fleet.IdleBoots, 0, maxBoots, func(v float64) { tuning.IdleBoots = v }}.apply,
+			setting[float64]{"fleet.give_up_boots", fleet.GiveUpBoots, 1, maxBoots, func(v float64) { tuning.GiveUpBoots = v }}.apply,
+			setting[float64]{"fleet.patience", fleet.Patience, 0, 1, func(v float64) { tuning.Patience = v }}.apply,
+			setting[int]{"fleet.spare_services", fleet.SpareServices, 0, maxCount, func(v int) { tuning.SpareServices = v }}.apply,
+			setting[int]{"fleet.spare_gangs", fleet.SpareGangs, 0, maxCount, func(v int) { tuning.SpareGangs = v }}.apply,
+			setting[int]{"fleet.max_machines", fleet.MaxMachines, 1, maxCount, func(v int) { tuning.MaxMachines = v }}.apply,
 		)
 	}
-	return list
+	return appliers
 }
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -1,22 +1,23 @@
 package config
 
-// SocketLimits is how a process shares out the sockets that it may have.
+// SocketLimits divides the file descriptors of the process between their uses.
 type SocketLimits struct {
-	Public         int // users' and workers' connections
-	DirectCommands int // direct commands under way
-	IdleWorkers    int // connections to workers that are kept for the next command
-	Other          int // state service, cloud, controllers, listeners and the runtime's own
+	Public         int // connections of users and workers
+	DirectCommands int // direct commands in progress
+	IdleWorkers    int // idle connections to workers, kept for the next command
+	Other          int // state service, cloud, other controllers, listeners, and the Go runtime
 }
 
-// socketsPerPeer bounds the connections from and to one other controller: one
-// each way, and as many again that were cut off and are not given up yet.
+// socketsPerPeer bounds the connections from and to one other controller: one in
+// each direction, and connections that were cut off and have not timed out yet.
 const socketsPerPeer = 6
 
-// SocketLimits shares out fd_limit. Workers keep their connections, and after an
-// election all of them come to one controller, so nearly all are public.
+// SocketLimits divides the setting fd_limit. Workers keep their connections open,
+// and after an election all workers connect to the same controller, so most file
+// descriptors are for public connections.
 func (s *Settings) SocketLimits() SocketLimits {
-	n := s.Params.Limits.Files
-	k := SocketLimits{DirectCommands: max(n/16, 1), IdleWorkers: n / 16, Other: max(n/16, 16+socketsPerPeer*len(s.Peers))}
-	k.Public = n - k.DirectCommands - k.IdleWorkers - k.Other
-	return k
+	total := s.Params.Limits.Files
+	limits := SocketLimits{DirectCommands: max(total/16, 1), IdleWorkers: total / 16, Other: max(total/16, 16+socketsPerPeer*len(s.Peers))}
+	limits.Public = total - limits.DirectCommands - limits.IdleWorkers - limits.Other
+	return limits
 }
