--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,7 @@
-// Package node runs the core: one goroutine owns the state, feeds events in
-// and carries effects out through the edges.
+// Package node runs the core of a controller. One goroutine owns the core's state:
+// it passes events to the state and carries out the effects that the state returns
+// (replies, messages to other controllers, calls to the state service, the cloud and
+// the workers).
 package node
 
 import (
@@ -24,73 +26,77 @@
 	"mulleinfall/internal/web"
 )
 
-// maxLogLinesPerSecond bounds the core's log; ten seconds' worth may come at once: a
-// line for each of 2,000 machines when all of them are lost together. What is
-// left out is counted in the log.
+// maxLogLinesPerSecond bounds the log lines of the core. A burst may hold the lines
+// of ten seconds, which is one line for each of 2,000 machines when all of them are
+// lost together. Dropped lines are counted in the log.
 const maxLogLinesPerSecond = 200
 
-// maxTickInterval bounds the time between two ticks where reports are rare: a new
-// leader asks its machines by the tick, and large fleets waited for that.
+// maxTickInterval bounds the time between two ticks if the report interval is long.
+// A new leader queries its machines on ticks, so that longer ticks delay the takeover
+// of a large fleet.
 const maxTickInterval = 100 * time.Millisecond
 
-// Controller is one controller.
+// Controller connects the core of one controller with the network.
 type Controller struct {
 	settings    *config.Settings
-	workerLease time.Duration // of the workers
+	workerLease time.Duration // lease duration of the workers
 	startedAt   time.Time
-	// tickInterval is that of the ticks: as many as there may be rounds of decisions. Each
-	// wakes the process up, which on a small machine costs more than what it does
-	// then.
+	// tickInterval is as long as the shortest interval between two scheduling rounds.
+	// Each tick wakes the process up, which costs more on a small machine than the
+	// work of the tick itself.
 	tickInterval time.Duration
 	state        *core.State
 
-	urgentEvents      chan core.Event // what leadership hangs on: peers, state service, cloud, answers to commands
-	requests          chan request    // of users and workers
+	urgentEvents      chan core.Event // from peers, state service, cloud and answered commands: leadership depends on them
+	requests          chan request    // from users and workers
 	nextID            atomic.Uint64
-	pendingRequests   map[uint64]request // under way
-	nextExpiryCheckAt time.Duration      // next look for those that nobody waits for
+	pendingRequests   map[uint64]request // requests without a reply so far, by id
+	nextExpiryCheckAt time.Duration      // when pendingRequests is next searched for expired requests
 
 	store     *statestore.Client
 	cloud     *cloud.Client
 	agent     *agent.Client
 	peerLinks map[string]*peer.Link
 
-	// A flood of lines would take the processor from what they tell about.
+	// logLimiter keeps a flood of log lines from using up processor time that the
+	// scheduler needs.
 	logLimiter      *rate.Limiter
 	droppedLogLines int
 
 	publicListener *web.LimitedListener
 }
 
-// New makes a controller from checked settings; Run serves it.
-func New(set *config.Settings, boot uint64) *Controller {
-	sockets := set.SocketLimits()
-	// Questions wait at the gate of the public side, one connection each, and not
-	// in a queue here: one that waits there has not been read yet. The rest is
-	// answers to what this node has asked, on as many sockets.
-	n := &Controller{settings: set, startedAt: time.Now(), requests: make(chan request),
-		urgentEvents:    make(chan core.Event, set.Params.Limits.Files),
+// New returns a controller with checked settings. Run serves it. The incarnation
+// number differs each time the process is started.
+func New(settings *config.Settings, incarnation uint64) *Controller {
+	sockets := settings.SocketLimits()
+	// The requests channel has no buffer: requests wait in package web, one for each
+	// connection, where a waiting request has not been read yet. The urgent events are
+	// mostly responses to calls of this controller. Each call needs a socket, so the
+	// buffer has one place for each socket.
+	c := &Controller{settings: settings, startedAt: time.Now(), requests: make(chan request),
+		urgentEvents:    make(chan core.Event, settings.Params.Limits.Files),
 		pendingRequests: map[uint64]request{}, peerLinks: map[string]*peer.Link{},
 		logLimiter: rate.NewLimiter(maxLogLinesPerSecond, 10*maxLogLinesPerSecond)}
-	cfg := set.CoreConfig(boot)
+	cfg := settings.CoreConfig(incarnation)
 	cfg.DebugLog = slog.Default().Enabled(context.Background(), slog.LevelDebug)
-	cfg.RoundBudget = set.RoundBudget
+	cfg.RoundBudget = settings.RoundBudget
 	cfg.Stopwatch = func() func() time.Duration {
-		began := n.Now()
-		return func() time.Duration { return n.Now() - began }
+		startedAt := c.Now()
+		return func() time.Duration { return c.Now() - startedAt }
 	}
-	n.state, n.workerLease, n.tickInterval = core.New(cfg, n.Now()), cfg.Lease, min(cfg.ReportInterval/24, maxTickInterval)
-	report := cfg.ReportInterval
-	dialer := &net.Dialer{Timeout: report}
-	client := func(perHost, idle int) *http.Client {
+	c.state, c.workerLease, c.tickInterval = core.New(cfg, c.Now()), cfg.Lease, min(cfg.ReportInterval/24, maxTickInterval)
+	reportInterval := cfg.ReportInterval
+	dialer := &net.Dialer{Timeout: reportInterval}
+	newClient := func(perHost, idle int) *http.Client {
 		return &http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-					c, err := dialer.DialContext(ctx, network, addr)
+					conn, err := dialer.DialContext(ctx, network, addr)
 					if err != nil {
 						return nil, err
 					}
-					return direct.Wrap(c), nil
+					return direct.Wrap(conn), nil
 				},
 				MaxIdleConnsPerHost: perHost,
 				MaxIdleConns:        idle,
@@ -100,66 +106,66 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	n.store = &statestore.Client{Addr: set.Services.State, HTTP: client(8, 8)}
-	n.cloud = &cloud.Client{Addr: set.Services.Cloud, HTTP: client(4, 4), Timeout: 5 * time.Second}
-	// A direct command that has no answer within a report's time is left to
-	// the reports.
-	n.agent = &agent.Client{HTTP: client(1, sockets.IdleWorkers), Timeout: report, Now: n.Now}
-	for _, p := range set.Peers {
-		n.peerLinks[p.Name] = peer.NewLink(set.Name, p.Addr, cfg.Lease/8)
+	c.store = &statestore.Client{Addr: settings.Services.State, HTTP: newClient(8, 8)}
+	c.cloud = &cloud.Client{Addr: settings.Services.Cloud, HTTP: newClient(4, 4), Timeout: 5 * time.Second}
+	// A direct command that is not answered within a report interval is given up: the
+	// worker's next report shows its outcome.
+	c.agent = &agent.Client{HTTP: newClient(1, sockets.IdleWorkers), Timeout: reportInterval, Now: c.Now}
+	for _, p := range settings.Peers {
+		c.peerLinks[p.Name] = peer.NewLink(settings.Name, p.Addr, cfg.Lease/8)
 	}
-	return n
+	return c
 }
 
-// Now is the steady clock, counted from the start of the process.
-func (n *Controller) Now() time.Duration { return time.Since(n.startedAt) }
+// Now returns the time since the start of the process by the monotonic clock.
+func (c *Controller) Now() time.Duration { return time.Since(c.startedAt) }
 
-// Run serves until ctx ends or a listener fails.
-func (n *Controller) Run(ctx context.Context) error {
+// Run serves until ctx is cancelled or a listener fails.
+func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	pub, err := net.Listen("tcp", n.settings.APIAddr)
+	publicListener, err := net.Listen("tcp", c.settings.APIAddr)
 	if err != nil {
 		return fmt.Errorf("listen for users and workers: %w", err)
 	}
-	defer pub.Close()
-	back, err := net.Listen("tcp", n.settings.PeerAddr)
+	defer publicListener.Close()
+	peerListener, err := net.Listen("tcp", c.settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-	defer back.Close()
-	slog.Info("serving", "node", n.settings.Name, "api", n.settings.APIAddr, "peers", n.settings.PeerAddr)
+	defer peerListener.Close()
+	slog.Info("serving", "node", c.settings.Name, "api", c.settings.APIAddr, "peers", c.settings.PeerAddr)
 
-	n.publicListener = web.LimitListener(pub, n.settings.SocketLimits().Public)
-	srv := &web.Server{Handler: api.Handler(n, int64(n.settings.Params.Limits.MemoryMB*(1<<20)/16)), Timeout: 2 * n.workerLease}
+	c.publicListener = web.LimitListener(publicListener, c.settings.SocketLimits().Public)
+	server := &web.Server{Handler: api.Handler(c, int64(c.settings.Params.Limits.MemoryMB*(1<<20)/16)), Timeout: 2 * c.workerLease}
 	errs := make(chan error, 2)
-	go func() { errs <- srv.Serve(ctx, n.publicListener) }()
+	go func() { errs <- server.Serve(ctx, c.publicListener) }()
 	go func() {
-		errs <- peer.Serve(ctx, back, func(from string, m core.PeerMsg) { n.postUrgent(ctx, core.PeerIn{From: from, Msg: m}) })
+		errs <- peer.Serve(ctx, peerListener, func(from string, m core.PeerMsg) { c.postUrgent(ctx, core.PeerIn{From: from, Msg: m}) })
 	}()
-	for _, l := range n.peerLinks {
-		go l.Run(ctx)
+	for _, link := range c.peerLinks {
+		go link.Run(ctx)
 	}
-	tick := time.NewTicker(n.tickInterval)
+	tick := time.NewTicker(c.tickInterval)
 	defer tick.Stop()
-	n.tick(ctx)
+	c.tick(ctx)
 	for {
-		if err := n.handleNext(ctx, tick.C, errs); err != nil || ctx.Err() != nil {
+		if err := c.handleNext(ctx, tick.C, errs); err != nil || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// handleNext carries one event to the core. A flood of reports must not put off
-// renewals, or the leadership that the reports need is lost to them: what
-// leadership hangs on goes first.
-func (n *Controller) handleNext(ctx context.Context, tick <-chan time.Time, errs <-chan error) error {
+// handleNext passes one event to the core. Urgent events and ticks are handled before
+// requests: otherwise a flood of worker reports would delay the renewal of the
+// leadership, and the leader that has to handle the reports would lose its term.
+func (c *Controller) handleNext(ctx context.Context, tick <-chan time.Time, errs <-chan error) error {
 	select {
-	case ev := <-n.urgentEvents:
-		n.step(ctx, ev)
+	case ev := <-c.urgentEvents:
+		c.step(ctx, ev)
 		return nil
 	case <-tick:
-		n.tick(ctx)
+		c.tick(ctx)
 		return nil
 	default:
 	}
@@ -169,109 +175,110 @@
 		if err != nil && ctx.Err() == nil {
 			return fmt.Errorf("serve: %w", err)
 		}
-	case ev := <-n.urgentEvents:
-		n.step(ctx, ev)
+	case ev := <-c.urgentEvents:
+		c.step(ctx, ev)
 	case <-tick:
-		n.tick(ctx)
-	case q := <-n.requests:
-		n.handleRequest(ctx, q)
+		c.tick(ctx)
+	case req := <-c.requests:
+		c.handleRequest(ctx, req)
 	}
 	return nil
 }
 
-// request is what a user or a worker asks. Whoever waits for it is told by
-// until, one way or the other.
+// request is a request of a user or a worker. It gets exactly one reply soon after
+// the deadline at the latest.
 type request struct {
 	id       uint64
 	event    core.Event
 	deadline time.Duration
-	reply    chan core.Reply // takes one; status 0: none in time
+	reply    chan core.Reply // holds one reply; status 0 means that the deadline has passed
 }
 
-// handleRequest works on a question, unless its time is over: with the processor
-// behind, that would put off those who still wait, and a report that old says
-// nothing of its machine.
-func (n *Controller) handleRequest(ctx context.Context, q request) {
-	if n.Now() >= q.deadline {
-		q.reply <- core.Reply{}
+// handleRequest passes a request to the core, unless its deadline has passed. On an
+// overloaded processor, handling expired requests would delay those whose clients
+// still wait, and a report that old no longer describes the state of its machine.
+func (c *Controller) handleRequest(ctx context.Context, req request) {
+	if c.Now() >= req.deadline {
+		req.reply <- core.Reply{}
 		return
 	}
-	n.pendingRequests[q.id] = q
-	n.step(ctx, q.event)
+	c.pendingRequests[req.id] = req
+	c.step(ctx, req.event)
 }
 
-// tick lets time-driven work happen, and ends the questions that have had no
-// answer in time.
-func (n *Controller) tick(ctx context.Context) {
-	n.step(ctx, core.Tick{WallMs: time.Now().UnixMilli()})
-	now := n.Now()
-	if now < n.nextExpiryCheckAt {
+// tick triggers the time-driven work of the core, and ends the pending requests whose
+// deadline has passed.
+func (c *Controller) tick(ctx context.Context) {
+	c.step(ctx, core.Tick{WallMs: time.Now().UnixMilli()})
+	now := c.Now()
+	if now < c.nextExpiryCheckAt {
 		return
 	}
-	n.nextExpiryCheckAt = now + expiryCheckInterval
-	for id, q := range n.pendingRequests {
-		if now >= q.deadline {
-			delete(n.pendingRequests, id)
-			q.reply <- core.Reply{}
+	c.nextExpiryCheckAt = now + expiryCheckInterval
+	for id, req := range c.pendingRequests {
+		if now >= req.deadline {
+			delete(c.pendingRequests, id)
+			req.reply <- core.Reply{}
 		}
 	}
 }
 
-// expiryCheckInterval is how late an asker may be told that there is no answer.
+// expiryCheckInterval is the time between two searches for expired requests. A client
+// learns at most this much after the deadline that there is no reply.
 const expiryCheckInterval = 200 * time.Millisecond
 
-// step feeds one event to the state and carries the effects out.
-func (n *Controller) step(ctx context.Context, ev core.Event) {
-	for _, e := range n.state.Step(n.Now(), ev) {
+// step passes one event to the state and carries out the effects.
+func (c *Controller) step(ctx context.Context, ev core.Event) {
+	for _, e := range c.state.Step(c.Now(), ev) {
 		switch e := e.(type) {
 		case core.Reply:
-			if q, ok := n.pendingRequests[e.RequestID]; ok {
-				delete(n.pendingRequests, e.RequestID)
-				q.reply <- e
+			if req, ok := c.pendingRequests[e.RequestID]; ok {
+				delete(c.pendingRequests, e.RequestID)
+				req.reply <- e
 			}
 		case core.StoreCall:
-			go func() { n.postUrgent(ctx, n.store.Do(ctx, e)) }()
+			go func() { c.postUrgent(ctx, c.store.Do(ctx, e)) }()
 		case core.CloudCall:
-			go func() { n.postUrgent(ctx, n.cloud.Do(ctx, e)) }()
+			go func() { c.postUrgent(ctx, c.cloud.Do(ctx, e)) }()
 		case core.AgentCall:
-			go func() { n.postUrgent(ctx, n.agent.Do(ctx, e)) }()
+			go func() { c.postUrgent(ctx, c.agent.Do(ctx, e)) }()
 		case core.PeerOut:
-			if l := n.peerLinks[e.To]; l != nil {
-				l.Send(e.Msg)
+			if link := c.peerLinks[e.To]; link != nil {
+				link.Send(e.Msg)
 			}
 		case core.Log:
-			if e.Level < slog.LevelError && !n.logLimiter.Allow() {
-				n.droppedLogLines++
+			if e.Level < slog.LevelError && !c.logLimiter.Allow() {
+				c.droppedLogLines++
 				continue
 			}
-			if n.droppedLogLines > 0 {
-				slog.Warn("log lines left out", "count", n.droppedLogLines)
-				n.droppedLogLines = 0
+			if c.droppedLogLines > 0 {
+				slog.Warn("log lines left out", "count", c.droppedLogLines)
+				c.droppedLogLines = 0
 			}
 			slog.Log(ctx, e.Level, e.Text, e.Args...)
 		}
 	}
 }
 
-// postUrgent hands an event to the owning goroutine.
-func (n *Controller) postUrgent(ctx context.Context, ev core.Event) {
+// postUrgent passes an event to the goroutine that owns the state.
+func (c *Controller) postUrgent(ctx context.Context, ev core.Event) {
 	select {
-	case n.urgentEvents <- ev:
+	case c.urgentEvents <- ev:
 	case <-ctx.Done():
 	}
 }
 
-// Process implements api.Asker.
-func (n *Controller) Process(make_ func(uint64) core.Event, until time.Duration, accepted func()) (core.Reply, bool) {
-	id := n.nextID.Add(1)
-	q := request{id: id, event: make_(id), deadline: until, reply: make(chan core.Reply, 1)}
-	n.requests <- q
-	accepted()
-	r := <-q.reply
-	return r, r.Status != 0
+// Process implements api.Backend.
+func (c *Controller) Process(makeEvent func(uint64) core.Event, deadline time.Duration, onAccepted func()) (core.Reply, bool) {
+	id := c.nextID.Add(1)
+	req := request{id: id, event: makeEvent(id), deadline: deadline, reply: make(chan core.Reply, 1)}
+	c.requests <- req
+	onAccepted()
+	reply := <-req.reply
+	return reply, reply.Status != 0
 }
 
-// IsNearSocketLimit implements api.Asker: too few sockets are left for newcomers. A
-// worker reports every few seconds and can as well connect anew each time; a
-// user who finds no socket is turned away.
-func (n *Controller) IsNearSocketLimit() bool { return n.publicListener.IsNearLimit() }
+// IsNearSocketLimit implements api.Backend. Workers should then close their
+// connections: a worker can open a new one for each report every few seconds, but a
+// user who gets no socket is refused.
+func (c *Controller) IsNearSocketLimit() bool { return c.publicListener.IsNearLimit() }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,68 +10,70 @@
 	"mulleinfall/internal/statestore"
 )
 
-// unreachableNetwork is a network without anybody on it.
+// unreachableNetwork is an HTTP transport on which every request fails.
 type unreachableNetwork struct{}
 
 func (unreachableNetwork) RoundTrip(*http.Request) (*http.Response, error) {
-	return nil, errors.New("nobody there")
+	return nil, errors.New("network unreachable")
 }
 
-// TestUrgentEventsGoBeforeReports: with reports waiting, a leader still hears at once what
-// its leadership hangs on. It lost its term to a flood of reports.
+// TestUrgentEventsGoBeforeReports checks that a leader handles the events that its
+// leadership depends on before waiting reports. Otherwise a flood of reports delays the
+// renewal of the leadership, and the leader loses its term.
 func TestUrgentEventsGoBeforeReports(t *testing.T) {
-	n := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(),
+	c := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(),
 		pendingRequests: map[uint64]request{}, requests: make(chan request, 64), urgentEvents: make(chan core.Event, 64)}
-	n.state = core.New(core.Config{Self: "a", Peers: []string{"b"}, ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
+	c.state = core.New(core.Config{Self: "a", Peers: []string{"b"}, ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
 	for i := range 32 {
-		n.requests <- request{id: uint64(i), event: core.WorkerReport{RequestID: uint64(i)}, deadline: time.Hour, reply: make(chan core.Reply, 1)}
-		n.urgentEvents <- core.PeerIn{From: "b", Msg: core.PeerMsg{Kind: core.MsgChange}}
+		c.requests <- request{id: uint64(i), event: core.WorkerReport{RequestID: uint64(i)}, deadline: time.Hour, reply: make(chan core.Reply, 1)}
+		c.urgentEvents <- core.PeerIn{From: "b", Msg: core.PeerMsg{Kind: core.MsgChange}}
 	}
 	for range 32 {
-		if err := n.handleNext(t.Context(), nil, nil); err != nil {
+		if err := c.handleNext(t.Context(), nil, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(n.urgentEvents) != 0 || len(n.requests) != 32 {
-		t.Errorf("after 32 events %d urgent ones and %d reports wait, want 0 and 32", len(n.urgentEvents), len(n.requests))
+	if len(c.urgentEvents) != 0 || len(c.requests) != 32 {
+		t.Errorf("after 32 events: got %d urgent events and %d reports waiting, want 0 and 32", len(c.urgentEvents), len(c.requests))
 	}
 }
 
-// TestExpiredRequestsAreDropped: what waited in the queue for longer than its asker is
-// dropped unprocessed, what is answered late too; both askers are told.
+// TestExpiredRequestsAreDropped checks that a request whose deadline passes before it is
+// handled is dropped, and that one whose deadline passes before its reply is ended. Both
+// clients get the result that there was no reply in time.
 func TestExpiredRequestsAreDropped(t *testing.T) {
-	n := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(), pendingRequests: map[uint64]request{}, requests: make(chan request, 4)}
-	type end struct {
+	c := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(), pendingRequests: map[uint64]request{}, requests: make(chan request, 4)}
+	type outcome struct {
 		status int
 		ok     bool
 	}
-	ask := func(wait time.Duration) chan end {
-		done := make(chan end, 1)
+	report := func(deadline time.Duration) chan outcome {
+		done := make(chan outcome, 1)
 		go func() {
-			r, ok := n.Process(func(req uint64) core.Event { return core.WorkerReport{RequestID: req} }, wait, func() {})
-			done <- end{r.Status, ok}
+			r, ok := c.Process(func(req uint64) core.Event { return core.WorkerReport{RequestID: req} }, deadline, func() {})
+			done <- outcome{r.Status, ok}
 		}()
 		return done
 	}
-	done := ask(0)
-	n.handleRequest(t.Context(), <-n.requests) // no state: it would fail if it were worked on
-	if e := <-done; e.ok || len(n.pendingRequests) != 0 {
-		t.Errorf("a report is worked on though its time was over: %+v", e)
+	done := report(0)
+	c.handleRequest(t.Context(), <-c.requests) // c has no state yet: passing the report to the core would panic
+	if got := <-done; got.ok || len(c.pendingRequests) != 0 {
+		t.Errorf("report handled after its deadline: got %+v, want ok false and no pending request", got)
 	}
 
-	n.state = core.New(core.Config{Self: "a", ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
-	done = ask(time.Hour)
-	n.handleRequest(t.Context(), <-n.requests)
-	if e := <-done; !e.ok || e.status != 421 || len(n.pendingRequests) != 0 {
-		t.Errorf("a report to a controller that doesn't lead is answered %+v", e)
+	c.state = core.New(core.Config{Self: "a", ReportInterval: time.Second, Lease: 10 * time.Second, StoreRPS: 10, StoreWriteRPS: 10, CloudRPS: 10}, 0)
+	done = report(time.Hour)
+	c.handleRequest(t.Context(), <-c.requests)
+	if got := <-done; !got.ok || got.status != 421 || len(c.pendingRequests) != 0 {
+		t.Errorf("report to a controller that is not the leader: got %+v, want status 421 and no pending request", got)
 	}
 
-	done = ask(time.Hour)
-	q := <-n.requests
-	q.deadline = 0
-	n.pendingRequests[q.id] = q
-	n.tick(t.Context())
-	if e := <-done; e.ok || len(n.pendingRequests) != 0 {
-		t.Errorf("a question without an answer in time ends as %+v", e)
+	done = report(time.Hour)
+	req := <-c.requests
+	req.deadline = 0
+	c.pendingRequests[req.id] = req
+	c.tick(t.Context())
+	if got := <-done; got.ok || len(c.pendingRequests) != 0 {
+		t.Errorf("request without a reply before its deadline: got %+v, want ok false and no pending request", got)
 	}
 }
