--- a/internal/web/limit.go
+++ b/internal/web/limit.go
@@ -7,38 +7,39 @@
 	"mulleinfall/internal/direct"
 )
 
-// LimitedListener is a listener that keeps to a number of open connections, so that
-// sockets are left for the rest of the process. What comes beyond is closed at
-// once.
+// LimitedListener is a listener with a limit on its open connections, so that file
+// descriptors are left for the rest of the process. Connections beyond the limit are
+// closed at once.
 type LimitedListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-// LimitListener bounds the open connections of ln to most.
-func LimitListener(ln net.Listener, most int) *LimitedListener {
-	return &LimitedListener{Listener: ln, slots: make(chan struct{}, most)}
+// LimitListener limits the open connections of ln to maxConns.
+func LimitListener(ln net.Listener, maxConns int) *LimitedListener {
+	return &LimitedListener{Listener: ln, slots: make(chan struct{}, maxConns)}
 }
 
-// IsNearLimit says whether three quarters of the connections are taken.
-func (b *LimitedListener) IsNearLimit() bool { return len(b.slots)*4 >= cap(b.slots)*3 }
+// IsNearLimit reports whether three quarters of the allowed connections are open.
+func (l *LimitedListener) IsNearLimit() bool { return len(l.slots)*4 >= cap(l.slots)*3 }
 
-// Accept waits for a connection within the bound.
-func (b *LimitedListener) Accept() (net.Conn, error) {
+// Accept waits for a connection that is within the limit.
+func (l *LimitedListener) Accept() (net.Conn, error) {
 	for {
-		c, err := b.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case b.slots <- struct{}{}:
-			return &limitedConn{Conn: direct.Wrap(c), slots: b.slots}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: direct.Wrap(conn), slots: l.slots}, nil
 		default:
-			c.Close()
+			conn.Close()
 		}
 	}
 }
 
+// limitedConn frees its slot of the listener when it is closed the first time.
 type limitedConn struct {
 	net.Conn
 	once  sync.Once
--- a/internal/web/limit_test.go
+++ b/internal/web/limit_test.go
@@ -8,20 +8,19 @@
 	"testing"
 )
 
-// TestLimitedListenerClosesExcessConnections: beyond the share of the public side connections
-// are closed at once, so that the others find their sockets; before that the
-// listener says that it is crowded.
+// TestLimitedListenerClosesExcessConnections checks that connections beyond the limit are
+// closed at once, and that the listener reports before that point that the limit is near.
 func TestLimitedListenerClosesExcessConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer inner.Close()
-	l := LimitListener(inner, 4)
+	listener := LimitListener(inner, 4)
 	accepted := make(chan net.Conn, 8)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -38,18 +37,18 @@
 	}
 	var open []net.Conn
 	for i := range 4 {
-		if l.IsNearLimit() != (i >= 3) {
-			t.Errorf("crowded with %d of 4 taken: %v", i, l.IsNearLimit())
+		if listener.IsNearLimit() != (i >= 3) {
+			t.Errorf("%d of 4 connections open: got IsNearLimit %v, want true from 3 on", i, listener.IsNearLimit())
 		}
 		dial()
 		open = append(open, <-accepted)
 	}
 	if _, err := dial().Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a fifth connection is kept: %v", err)
+		t.Errorf("read from a fifth connection: got %v, want that the connection is closed", err)
 	}
 	open[0].Close()
-	open[0].Close() // frees one slot, however often
-	if len(l.slots) != 3 {
-		t.Errorf("%d slots are taken, want 3", len(l.slots))
+	open[0].Close() // must not free a second slot
+	if len(listener.slots) != 3 {
+		t.Errorf("after closing a connection twice: got %d used slots, want 3", len(listener.slots))
 	}
 }
--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -1,12 +1,12 @@
-// Package web serves HTTP/1.1 to many connections that each ask little and
-// seldom. net/http reads the requests and its handlers answer them; what is
-// ours is the loop in between.
+// Package web serves HTTP/1.1 on many connections that each send few and small
+// requests. Requests are parsed by net/http and handled by an http.Handler; this
+// package contains the loop in between.
 //
-// It stands in for http.Server because that cost a leader on a small machine
-// more than the decisions did: a second goroutine and a second read for each
-// request, to notice a client that leaves, a context and three timers. Nobody
-// here asks for a request's context, and what a client that has left still gets
-// done is bounded by the handlers.
+// It replaces http.Server, which used more processor time of a leader on a small
+// machine than scheduling did: for each request it starts a second goroutine and a
+// second read to detect that the client disconnects, a context and three timers. The
+// handlers here don't use the context of a request, and they bound the work for a
+// client that has disconnected.
 package web
 
 import (
@@ -25,47 +25,48 @@
 	"time"
 )
 
-// Limits of a connection. Requests are mostly a few hundred bytes, so that one
-// read takes a whole one; a longer body passes the buffer by.
+// Limits of a connection. Most requests have a few hundred bytes, so that one read
+// gets a whole request. Longer bodies are read without the buffer.
 const (
 	readBufferBytes = 2 << 10
 	maxHeaderBytes  = 16 << 10
-	maxUnreadBytes  = 4 << 10 // of a body that its handler left; beyond it the connection ends
+	maxUnreadBytes  = 4 << 10 // if a handler leaves more of a body unread, the connection is closed
 )
 
-// Server answers the requests of a listener's connections, one at a time each.
+// Server serves the connections of a listener. It handles one request at a time on
+// each connection.
 type Server struct {
 	Handler http.Handler
-	// Timeout bounds how long a connection may wait for its next request, and half
-	// of it at least remains for that request's bytes and its answer.
+	// Timeout bounds how long a connection may wait for its next request. At least
+	// half of it is available for receiving that request and sending the response.
 	Timeout time.Duration
 
-	// admission lets requests in one after the other, each until its handler has
-	// handed it on (Next). When hundreds of machines report at once, on a slow
-	// processor, each would otherwise be read and decoded before the one
-	// goroutine that decides got its turn again, and a leader missed its own
-	// renewals.
+	// admission is held by one request at a time, from when it is read until its
+	// handler has passed it to the core and calls AdmitNext. Without it, when hundreds
+	// of machines report at once on a slow processor, all reports would be read and
+	// decoded before the one goroutine that runs the core was scheduled again, and a
+	// leader would not renew its leadership in time.
 	admission sync.Mutex
 }
 
-// AdmitNext tells the server of w that what its request asks for has been handed on,
-// so that the next request may pass while this one waits for its answer.
+// AdmitNext tells the server of w that the handler has passed its request on. The
+// server admits the next request while this one waits for its reply.
 func AdmitNext(w http.ResponseWriter) {
-	if a := responseOf(w); a != nil {
-		a.admitNext()
+	if resp := responseOf(w); resp != nil {
+		resp.admitNext()
 	}
 }
 
-// ArrivedAt is when the request that w answers came; the zero time where that
-// isn't known.
+// ArrivedAt returns when the request that w responds to arrived, or the zero time if
+// that is not known.
 func ArrivedAt(w http.ResponseWriter) time.Time {
-	if a := responseOf(w); a != nil {
-		return a.arrivedAt
+	if resp := responseOf(w); resp != nil {
+		return resp.arrivedAt
 	}
 	return time.Time{}
 }
 
-// responseOf finds this package's writer behind those that handlers put round it.
+// responseOf returns the response that w is or wraps, or nil if there is none.
 func responseOf(w http.ResponseWriter) *response {
 	for {
 		switch v := w.(type) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// Serve accepts connections until ctx ends or the listener fails.
+// Serve accepts connections until ctx is cancelled or the listener is closed.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
@@ -89,7 +90,7 @@
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return err
 		default:
-			// Out of sockets, say: that passes, the listener stays.
+			// The error may be temporary, such as too many open files: keep listening.
 			slog.Warn("connection not accepted", "error", err)
 			select {
 			case <-ctx.Done():
@@ -100,91 +101,93 @@
 	}
 }
 
-// serveConn answers a connection's requests until one side ends it.
-func (s *Server) serveConn(c net.Conn) {
-	defer c.Close()
-	a := &response{header: http.Header{}}
+// serveConn serves the requests of a connection until either side closes it.
+func (s *Server) serveConn(conn net.Conn) {
+	defer conn.Close()
+	resp := &response{header: http.Header{}}
 	defer func() {
-		a.admitNext()                 // whatever ended it: the others wait at the gate
-		if r := recover(); r != nil { // one request must not end the process
+		resp.admitNext()              // other requests may be waiting for admission
+		if r := recover(); r != nil { // a failing request must not end the process
 			slog.Error("handler failed", "panic", r, "stack", string(debug.Stack()))
 		}
 	}()
-	in := &headReader{r: c}
-	br := bufio.NewReaderSize(in, readBufferBytes)
+	head := &headReader{r: conn}
+	reader := bufio.NewReaderSize(head, readBufferBytes)
 	for {
-		// Connections across a cut stay open at this end only: without a limit
-		// they would use up the sockets.
-		began := time.Now()
-		if c.SetDeadline(began.Add(s.Timeout)) != nil {
+		// After a network failure, a connection may stay open at this end only. Without
+		// a deadline such connections would use up the file descriptors.
+		waitStartedAt := time.Now()
+		if conn.SetDeadline(waitStartedAt.Add(s.Timeout)) != nil {
 			return
 		}
-		in.remaining = maxHeaderBytes
-		req, err := s.readRequest(br, a)
+		head.remaining = maxHeaderBytes
+		req, err := s.readRequest(reader, resp)
 		if err != nil {
-			if status := in.rejectStatus(err); status != 0 {
-				a.reject(status)
-				_ = a.send(c, false)
+			if status := head.rejectStatus(err); status != 0 {
+				resp.reject(status)
+				_ = resp.send(conn, false)
 			}
 			return
 		}
-		in.remaining = -1
-		if a.arrivedAt.Sub(began) > s.Timeout/2 {
-			// It has come late in the time of its connection, and needs some of its own.
-			if c.SetDeadline(a.arrivedAt.Add(s.Timeout)) != nil {
+		head.remaining = -1
+		if resp.arrivedAt.Sub(waitStartedAt) > s.Timeout/2 {
+			// The request came in the second half of the timeout: extend the deadline, so
+			// that there is time for its response.
+			if conn.SetDeadline(resp.arrivedAt.Add(s.Timeout)) != nil {
 				return
 			}
 		}
-		a.reset(req.Close || !req.ProtoAtLeast(1, 1))
+		resp.reset(req.Close || !req.ProtoAtLeast(1, 1))
 		switch {
 		case req.Host == "" && req.ProtoAtLeast(1, 1):
-			a.reject(http.StatusBadRequest)
+			resp.reject(http.StatusBadRequest)
 		case req.Header.Get("Expect") != "" && req.Header.Get("Expect") != "100-continue":
-			a.reject(http.StatusExpectationFailed)
+			resp.reject(http.StatusExpectationFailed)
 		default:
 			if req.Header.Get("Expect") != "" {
-				a.admitNext() // the client may be slow to take even that
-				if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+				resp.admitNext() // the client may be slow to read the interim response
+				if _, err := io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 					return
 				}
 			}
-			s.Handler.ServeHTTP(a, req)
+			s.Handler.ServeHTTP(resp, req)
 		}
-		a.admitNext()
-		if a.send(c, req.Method == http.MethodHead) != nil || a.isLast() {
+		resp.admitNext()
+		if resp.send(conn, req.Method == http.MethodHead) != nil || resp.isLast() {
 			return
 		}
 		if n, err := io.CopyN(io.Discard, req.Body, maxUnreadBytes); n == maxUnreadBytes || !errors.Is(err, io.EOF) {
-			return // what is left of it would be read as the next request
+			return // the rest of the body would be read as the next request
 		}
 	}
 }
 
-// readRequest takes the next request. Only one that has arrived as a whole holds the
-// gate: nobody is kept waiting by a client that is slow.
-func (s *Server) readRequest(br *bufio.Reader, a *response) (*http.Request, error) {
-	if _, err := br.Peek(1); err != nil {
+// readRequest reads the next request. A request holds the admission only if it has
+// arrived completely, so that a slow client doesn't delay the others.
+func (s *Server) readRequest(reader *bufio.Reader, resp *response) (*http.Request, error) {
+	if _, err := reader.Peek(1); err != nil {
 		return nil, err
 	}
-	a.arrivedAt = time.Now()
-	if there, _ := br.Peek(br.Buffered()); bytes.Contains(there, headEnd) {
+	resp.arrivedAt = time.Now()
+	if buffered, _ := reader.Peek(reader.Buffered()); bytes.Contains(buffered, headEnd) {
 		s.admission.Lock()
-		a.admission = &s.admission
+		resp.admission = &s.admission
 	}
-	req, err := http.ReadRequest(br)
-	if err != nil || req.ContentLength < 0 || req.ContentLength > int64(br.Buffered()) {
-		a.admitNext()
+	req, err := http.ReadRequest(reader)
+	if err != nil || req.ContentLength < 0 || req.ContentLength > int64(reader.Buffered()) {
+		resp.admitNext()
 	}
 	return req, err
 }
 
+// headEnd separates the head of a request from its body.
 var headEnd = []byte("\r\n\r\n")
 
-// headReader bounds what a request's head may hold: without end, one would fill the
-// memory. left below 0: no bound.
+// headReader bounds the size of the head of a request, which could otherwise fill the
+// memory.
 type headReader struct {
 	r         io.Reader
-	remaining int
+	remaining int // bytes that may still be read; negative means no limit
 }
 
 var errHeadTooLong = errors.New("request head too long")
@@ -201,24 +204,24 @@
 	return n, err
 }
 
-// rejectStatus is the status for a request that could not be read; 0 where nobody
-// is left to be told or nothing was asked.
+// rejectStatus returns the status for a request that could not be read, or 0 if the
+// client has disconnected or has sent nothing.
 func (h *headReader) rejectStatus(err error) int {
-	var network net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, errHeadTooLong):
 		return http.StatusRequestHeaderFieldsTooLarge
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 		return 0
 	}
 	return http.StatusBadRequest
 }
 
-// response is the http.ResponseWriter of a connection. An answer goes out in one
-// write, with its length.
+// response is the http.ResponseWriter of a connection. It sends a response in one
+// write, with its Content-Length.
 type response struct {
-	arrivedAt time.Time   // of the request
-	admission *sync.Mutex // held, or nil
+	arrivedAt time.Time   // when the request arrived
+	admission *sync.Mutex // nil if this request doesn't hold it
 
 	header http.Header
 	status int
@@ -226,65 +229,71 @@
 	output bytes.Buffer
 }
 
-// maxKeptBytes is what a connection's buffers may keep from one answer to the next.
+// maxKeptBytes bounds the size of a buffer that a connection keeps for its next
+// response.
 const maxKeptBytes = 4 << 10
 
-func (a *response) reset(last bool) {
-	clear(a.header)
-	a.status = 0
-	if a.body.Cap() > maxKeptBytes {
-		a.body = bytes.Buffer{}
+// reset prepares for the next response. With closeAfter, the connection is closed after
+// that response.
+func (r *response) reset(closeAfter bool) {
+	clear(r.header)
+	r.status = 0
+	if r.body.Cap() > maxKeptBytes {
+		r.body = bytes.Buffer{}
 	}
-	if a.output.Cap() > maxKeptBytes {
-		a.output = bytes.Buffer{}
+	if r.output.Cap() > maxKeptBytes {
+		r.output = bytes.Buffer{}
 	}
-	a.body.Reset()
-	a.output.Reset()
-	if last {
-		a.header.Set("Connection", "close")
+	r.body.Reset()
+	r.output.Reset()
+	if closeAfter {
+		r.header.Set("Connection", "close")
 	}
 }
 
-func (a *response) admitNext() {
-	if a.admission != nil {
-		a.admission.Unlock()
-		a.admission = nil
+// admitNext releases the admission if this request holds it.
+func (r *response) admitNext() {
+	if r.admission != nil {
+		r.admission.Unlock()
+		r.admission = nil
 	}
 }
 
-func (a *response) Header() http.Header { return a.header }
+func (r *response) Header() http.Header { return r.header }
 
-func (a *response) WriteHeader(status int) {
-	if a.status == 0 {
-		a.status = status
+func (r *response) WriteHeader(status int) {
+	if r.status == 0 {
+		r.status = status
 	}
 }
 
-func (a *response) Write(b []byte) (int, error) {
-	a.WriteHeader(http.StatusOK)
-	return a.body.Write(b)
+func (r *response) Write(b []byte) (int, error) {
+	r.WriteHeader(http.StatusOK)
+	return r.body.Write(b)
 }
 
-// reject answers a request that no handler gets to see, and ends the connection.
-func (a *response) reject(status int) {
-	a.reset(true)
-	a.WriteHeader(status)
+// reject responds with status to a request that no handler sees. The connection is
+// closed after the response.
+func (r *response) reject(status int) {
+	r.reset(true)
+	r.WriteHeader(status)
 }
 
-// isLast says whether the connection ends with this answer.
-func (a *response) isLast() bool { return a.header.Get("Connection") == "close" }
+// isLast reports whether the connection is closed after this response.
+func (r *response) isLast() bool { return r.header.Get("Connection") == "close" }
 
-func (a *response) send(c net.Conn, headOnly bool) error {
-	a.WriteHeader(http.StatusOK)
-	fmt.Fprintf(&a.output, "HTTP/1.1 %d %s\r\n", a.status, http.StatusText(a.status))
-	a.header.Set("Content-Length", strconv.Itoa(a.body.Len()))
-	if err := a.header.Write(&a.output); err != nil {
+// send writes the response to the connection, without its body for headOnly.
+func (r *response) send(conn net.Conn, headOnly bool) error {
+	r.WriteHeader(http.StatusOK)
+	fmt.Fprintf(&r.output, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status))
+	r.header.Set("Content-Length", strconv.Itoa(r.body.Len()))
+	if err := r.header.Write(&r.output); err != nil {
 		return err
 	}
-	a.output.WriteString("\r\n")
+	r.output.WriteString("\r\n")
 	if !headOnly {
-		a.output.Write(a.body.Bytes())
+		r.output.Write(r.body.Bytes())
 	}
-	_, err := c.Write(a.output.Bytes())
+	_, err := conn.Write(r.output.Bytes())
 	return err
 }
--- a/internal/web/web_test.go
+++ b/internal/web/web_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// scriptedConn is a connection whose other side has said all it will say.
+// scriptedConn is a connection whose input is given in advance. It records its output.
 type scriptedConn struct {
 	net.Conn
 	input  io.Reader
@@ -26,8 +26,8 @@
 func (s *scriptedConn) Close() error                  { return nil }
 func (s *scriptedConn) SetDeadline(_ time.Time) error { return nil }
 
-// echoHandler answers with the method, the path and the body; /leave leaves the body
-// unread, /last ends the connection, /fail panics.
+// echoHandler responds with the method, the path and the body of the request. For /leave
+// it leaves the body unread, for /last it closes the connection, for /fail it panics.
 var echoHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	var body []byte
 	switch r.URL.Path {
@@ -44,35 +44,36 @@
 	w.Write([]byte(r.Method + " " + r.URL.Path + " " + string(body)))
 })
 
-// responsesTo gives the answers to what one client says on one connection, each as
-// its status and body.
-func responsesTo(t *testing.T, said string) []string {
+// responsesTo sends requests on one connection and returns the responses, each as its
+// status and body.
+func responsesTo(t *testing.T, requests string) []string {
 	t.Helper()
-	c := &scriptedConn{input: strings.NewReader(said)}
-	(&Server{Handler: echoHandler, Timeout: time.Second}).serveConn(c)
+	conn := &scriptedConn{input: strings.NewReader(requests)}
+	(&Server{Handler: echoHandler, Timeout: time.Second}).serveConn(conn)
 	var got []string
-	br := bufio.NewReader(&c.output)
+	reader := bufio.NewReader(&conn.output)
 	for {
 		method := http.MethodGet
-		if strings.HasPrefix(said, "HEAD") {
+		if strings.HasPrefix(requests, "HEAD") {
 			method = http.MethodHead
 		}
-		r, err := http.ReadResponse(br, &http.Request{Method: method})
+		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return got
 		}
 		if err != nil {
-			t.Fatalf("%q: answer not readable: %v", said, err)
+			t.Fatalf("%q: response not readable: %v", requests, err)
 		}
-		body, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			t.Fatalf("%q: body not as long as announced: %v", said, err)
+			t.Fatalf("%q: body shorter than its Content-Length: %v", requests, err)
 		}
-		got = append(got, strings.TrimSpace(r.Status[:3]+" "+string(body)))
+		got = append(got, strings.TrimSpace(resp.Status[:3]+" "+string(body)))
 	}
 }
 
-// TestRequestsOnOneConnection: what a client may say on a connection, and where it ends.
+// TestRequestsOnOneConnection checks the responses to valid and invalid sequences of
+// requests, and after which of them the connection is closed.
 func TestRequestsOnOneConnection(t *testing.T) {
 	const host = " HTTP/1.1\r\nHost: x\r\n"
 	post := func(path, body string) string {
@@ -80,150 +81,152 @@
 	}
 	get := "GET /a" + host + "\r\n"
 	cases := []struct {
-		name, said string
-		want       string
+		name, requests string
+		want           string
 	}{
-		{"one after the other", get + post("/b", "hello") + get, "202 GET /a|202 POST /b hello|202 GET /a"},
-		{"in pieces", "POST /b" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get, "202 POST /b abc|202 GET /a"},
-		{"a body that its handler left", post("/leave", "unread") + get, "202 POST /leave|202 GET /a"},
-		{"too much left", post("/leave", strings.Repeat("x", 2*maxUnreadBytes)) + get, "202 POST /leave"},
-		{"the handler ends it", post("/last", "") + get, "202 POST /last"},
-		{"the client ends it", "GET /a" + host + "Connection: close\r\n\r\n" + get, "202 GET /a"},
-		{"an old client", "GET /a HTTP/1.0\r\n\r\n" + get, "202 GET /a"},
-		{"head only", "HEAD /a" + host + "\r\n", "202"},
-		{"a handler that fails", post("/fail", "") + get, ""},
-		{"no host", "GET /a HTTP/1.1\r\n\r\n" + get, "400"},
-		{"no request", "what?\r\n\r\n", "400"},
-		{"nothing", "", ""},
-		{"cut off", "GET /a HTT", "400"},
-		{"a head without end", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeaderBytes), "431"},
-		{"an expectation", "POST /b" + host + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok", "100|202 POST /b ok"},
-		{"another expectation", "POST /b" + host + "Expect: tea\r\nContent-Length: 2\r\n\r\nok", "417"},
+		{"consecutive requests", get + post("/b", "hello") + get, "202 GET /a|202 POST /b hello|202 GET /a"},
+		{"chunked body", "POST /b" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get, "202 POST /b abc|202 GET /a"},
+		{"short unread body", post("/leave", "unread") + get, "202 POST /leave|202 GET /a"},
+		{"long unread body", post("/leave", strings.Repeat("x", 2*maxUnreadBytes)) + get, "202 POST /leave"},
+		{"closed by the handler", post("/last", "") + get, "202 POST /last"},
+		{"closed by the client", "GET /a" + host + "Connection: close\r\n\r\n" + get, "202 GET /a"},
+		{"HTTP/1.0 client", "GET /a HTTP/1.0\r\n\r\n" + get, "202 GET /a"},
+		{"HEAD request", "HEAD /a" + host + "\r\n", "202"},
+		{"panicking handler", post("/fail", "") + get, ""},
+		{"no Host header", "GET /a HTTP/1.1\r\n\r\n" + get, "400"},
+		{"not an HTTP request", "what?\r\n\r\n", "400"},
+		{"no input", "", ""},
+		{"truncated request", "GET /a HTT", "400"},
+		{"too long head", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeaderBytes), "431"},
+		{"Expect: 100-continue", "POST /b" + host + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok", "100|202 POST /b ok"},
+		{"unknown expectation", "POST /b" + host + "Expect: tea\r\nContent-Length: 2\r\n\r\nok", "417"},
 	}
 	for _, c := range cases {
-		if got := strings.Join(responsesTo(t, c.said), "|"); got != c.want {
+		if got := strings.Join(responsesTo(t, c.requests), "|"); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// TestRequestsAreAdmittedOneAtATime: a request that has arrived waits until the one before has
-// been handed on, and no longer; a client that is slow holds nobody up, nor does
-// a handler that fails.
+// TestRequestsAreAdmittedOneAtATime checks that a request waits until the handler of the
+// request before it calls AdmitNext, and not until that request has its response. Neither
+// a slow client nor a panicking handler delays other requests.
 func TestRequestsAreAdmittedOneAtATime(t *testing.T) {
-	began, hand, finish := make(chan string, 4), make(chan bool), make(chan bool)
-	s := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		began <- r.URL.Path
+	started, admit, finish := make(chan string, 4), make(chan bool), make(chan bool)
+	server := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		started <- r.URL.Path
 		if r.URL.Path == "/fail" {
 			panic("on purpose")
 		}
-		<-hand
+		<-admit
 		AdmitNext(wrappedWriter{w})
 		<-finish
 	})}
-	connect := func(say string) net.Conn {
-		here, there := net.Pipe()
-		t.Cleanup(func() { here.Close() })
-		go s.serveConn(there)
-		if _, err := here.Write([]byte(say)); err != nil {
+	connect := func(request string) net.Conn {
+		clientSide, serverSide := net.Pipe()
+		t.Cleanup(func() { clientSide.Close() })
+		go server.serveConn(serverSide)
+		if _, err := clientSide.Write([]byte(request)); err != nil {
 			t.Fatal(err)
 		}
-		return here
+		return clientSide
 	}
-	connect("GET /slow HTTP/1.1\r\nHo") // never says the rest
+	connect("GET /slow HTTP/1.1\r\nHo") // the rest of the request never comes
 	connect("GET /fail HTTP/1.1\r\nHost: x\r\n\r\n")
-	if got := <-began; got != "/fail" {
-		t.Fatalf("%s began, want /fail", got)
+	if got := <-started; got != "/fail" {
+		t.Fatalf("first request started: got %s, want /fail", got)
 	}
-	one := connect("GET /one HTTP/1.1\r\nHost: x\r\n\r\n")
-	if got := <-began; got != "/one" {
-		t.Fatalf("%s began, want /one", got)
+	connOne := connect("GET /one HTTP/1.1\r\nHost: x\r\n\r\n")
+	if got := <-started; got != "/one" {
+		t.Fatalf("second request started: got %s, want /one", got)
 	}
-	two := connect("GET /two HTTP/1.1\r\nHost: x\r\n\r\n")
-	if s.admission.TryLock() {
-		t.Error("the gate is open though nothing has been handed on")
+	connTwo := connect("GET /two HTTP/1.1\r\nHost: x\r\n\r\n")
+	if server.admission.TryLock() {
+		t.Error("got free admission while a request holds it, want it locked")
 	}
-	if len(began) != 0 {
-		t.Errorf("%s began before the one ahead had been handed on", <-began)
+	if len(started) != 0 {
+		t.Errorf("got %s started before the request ahead called AdmitNext, want none", <-started)
 	}
-	hand <- true
-	if got := <-began; got != "/two" {
-		t.Fatalf("%s began, want /two", got)
+	admit <- true
+	if got := <-started; got != "/two" {
+		t.Fatalf("third request started: got %s, want /two", got)
 	}
-	hand <- true
+	admit <- true
 	finish <- true
 	finish <- true
-	for _, c := range []net.Conn{one, two} {
+	for _, c := range []net.Conn{connOne, connTwo} {
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 200 {
-			t.Errorf("answered %v, %v", r, err)
+			t.Errorf("got response %v and error %v, want status 200", r, err)
 		}
 	}
 }
 
-// TestBrokenConnectionReleasesAdmission: a connection that breaks while it holds the gate gives
-// it back.
+// TestBrokenConnectionReleasesAdmission checks that a request releases the admission when
+// its connection or its handler fails.
 func TestBrokenConnectionReleasesAdmission(t *testing.T) {
-	s := &Server{Timeout: time.Hour, Handler: echoHandler}
-	for _, said := range []string{
+	server := &Server{Timeout: time.Hour, Handler: echoHandler}
+	for _, request := range []string{
 		"POST /b HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nok",
 		"GET /a HTTP/1.1\r\nHost: x\r\n\r\n",
 		"POST /fail HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
-		s.serveConn(&brokenConn{scriptedConn{input: strings.NewReader(said)}})
-		if !s.admission.TryLock() {
-			t.Fatalf("the gate is held for ever after %q", said)
+		server.serveConn(&brokenConn{scriptedConn{input: strings.NewReader(request)}})
+		if !server.admission.TryLock() {
+			t.Fatalf("admission after %q: got locked, want free", request)
 		}
-		s.admission.Unlock()
+		server.admission.Unlock()
 	}
 }
 
-// brokenConn is a connection that takes nothing.
+// brokenConn is a connection on which every write fails.
 type brokenConn struct{ scriptedConn }
 
 func (*brokenConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// TestLateRequestGetsTimeForItsResponse: a request that comes at the end of the time that its
-// connection may wait still has time for its answer; one that never comes has not.
+// TestLateRequestGetsTimeForItsResponse checks that a request that arrives shortly before
+// the timeout of its connection still has time for its response, and that an idle
+// connection is closed at its timeout.
 func TestLateRequestGetsTimeForItsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &Server{Timeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := &Server{Timeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(4 * time.Second)
 		})}
-		client, server := net.Pipe()
-		go s.serveConn(server)
+		clientSide, serverSide := net.Pipe()
+		go server.serveConn(serverSide)
 		time.Sleep(9 * time.Second)
-		if _, err := io.WriteString(client, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(clientSide, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if r, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || r.StatusCode != 200 {
-			t.Fatalf("answered %v, %v", r, err)
+		if r, err := http.ReadResponse(bufio.NewReader(clientSide), nil); err != nil || r.StatusCode != 200 {
+			t.Fatalf("got response %v and error %v, want status 200", r, err)
 		}
-		began := time.Now()
-		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(began) != 10*time.Second {
-			t.Errorf("idle, the connection ends with %v after %v", err, time.Since(began))
+		idleSince := time.Now()
+		if _, err := clientSide.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(idleSince) != 10*time.Second {
+			t.Errorf("idle connection: got error %v after %v, want EOF after 10s", err, time.Since(idleSince))
 		}
 	})
 }
 
-// wrappedWriter is a writer as handlers put one round another.
+// wrappedWriter wraps a response writer, as handlers do.
 type wrappedWriter struct{ http.ResponseWriter }
 
 func (w wrappedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// TestRequestAllocations: what a request costs beside its handler stays bounded. With
-// hundreds a second on a small machine every allocation is time.
+// TestRequestAllocations bounds the allocations of a request apart from its handler. A
+// small machine serves hundreds of requests per second, so each allocation costs
+// noticeable processor time.
 func TestRequestAllocations(t *testing.T) {
-	const n = 200
-	one := "POST /agent/beat HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
-	s := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
-	all := testing.AllocsPerRun(5, func() {
-		c := &scriptedConn{input: strings.NewReader(strings.Repeat(one, n))}
-		s.serveConn(c)
-		if got := strings.Count(c.output.String(), "200 OK"); got != n {
-			t.Fatalf("%d answers, want %d", got, n)
+	const requestCount = 200
+	request := "POST /agent/beat HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
+	server := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
+	total := testing.AllocsPerRun(5, func() {
+		conn := &scriptedConn{input: strings.NewReader(strings.Repeat(request, requestCount))}
+		server.serveConn(conn)
+		if got := strings.Count(conn.output.String(), "200 OK"); got != requestCount {
+			t.Fatalf("got %d responses, want %d", got, requestCount)
 		}
 	})
-	if each := all / n; each > 16 {
-		t.Errorf("%.1f allocations a request, at most 16 are allowed", each)
+	if perRequest := total / requestCount; perRequest > 16 {
+		t.Errorf("got %.1f allocations per request, want at most 16", perRequest)
 	}
 }
