--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,6 @@
-// Package api serves users, workers and health checks over HTTP. It checks
-// form, hands events to the node and writes its replies; what the answer is,
-// the core decides.
+// Package api serves users, workers and health checks over HTTP. It validates
+// requests, passes them as events to the controller and writes the replies, which the
+// core decides on.
 package api
 
 import (
@@ -12,66 +12,70 @@
 	"sync/atomic"
 	"time"
 
-	// Reports are most of what a leader reads; this decodes them in a third of
-	// the time that encoding/json takes.
-	fast "github.com/segmentio/encoding/json"
+	// Most requests to a leader are worker reports. This package decodes them in a
+	// third of the time that encoding/json takes.
+	fastjson "github.com/segmentio/encoding/json"
 
 	"mulleinfall/internal/core"
 	"mulleinfall/internal/model"
 	"mulleinfall/internal/web"
 )
 
-// maxBody is the protocol's bound on a request body.
+// maxBody is the longest request body that the protocol allows, in bytes.
 const maxBody = 64 << 10
 
-// Backend hands an event to the node, says so by calling accepted, and waits for
-// the reply until the time given. The event is made from the number that the
-// reply will carry. False: no reply in time.
+// Backend is the controller that processes the requests.
 type Backend interface {
-	Process(make func(req uint64) core.Event, until time.Duration, accepted func()) (core.Reply, bool)
+	// Process passes an event to the core and waits for the reply until the deadline.
+	// It makes the event from the id that the reply will carry, and calls onAccepted
+	// once the event has been passed on. The result is false if there was no reply in
+	// time.
+	Process(makeEvent func(requestID uint64) core.Event, deadline time.Duration, onAccepted func()) (core.Reply, bool)
+	// Now returns the monotonic clock that deadlines refer to.
 	Now() time.Duration
-	// IsNearSocketLimit says that sockets are running out.
+	// IsNearSocketLimit reports whether few sockets are left for new connections.
 	IsNearSocketLimit() bool
 }
 
-// Users wait 5 s for a submission, 2 s for a poll, workers 4 s for a report:
-// each is told before that.
+// Users wait 5 s for the response to a submission and 2 s for a poll, workers wait 4 s
+// for a report. The timeouts are shorter, so that the client gets a response before it
+// gives up.
 const (
 	submitTimeout = 4 * time.Second
 	pollTimeout   = 1800 * time.Millisecond
 	reportTimeout = 3 * time.Second
 )
 
-// Handler serves all paths. Bodies that are longer than most requests take no
-// more than room bytes at a time: with a connection each, a thousand clients
-// could otherwise fill the memory of a small machine.
-func Handler(n Backend, room int64) http.Handler {
-	e := &handler{backend: n}
-	e.bodyReader.freeBytes.Store(room)
+// Handler serves all paths. Bodies longer than smallBody that are being read at the same
+// time take at most maxLargeBodyBytes together: otherwise a thousand clients with one
+// connection each could fill the memory of a small machine.
+func Handler(backend Backend, maxLargeBodyBytes int64) http.Handler {
+	h := &handler{backend: backend}
+	h.bodyReader.freeBytes.Store(maxLargeBodyBytes)
 	mux := http.NewServeMux()
 	for _, route := range []struct {
 		path, method string
 		serve        http.HandlerFunc
 	}{
-		{"/api/jobs", http.MethodPost, e.submit},
-		{"/api/jobs/{id}", http.MethodGet, e.poll},
-		{"/api/jobs/{id}/withdraw", http.MethodPost, e.cancel},
-		{"/agent/beat", http.MethodPost, e.report},
-		{"/up", http.MethodGet, e.health},
+		{"/api/jobs", http.MethodPost, h.submit},
+		{"/api/jobs/{id}", http.MethodGet, h.poll},
+		{"/api/jobs/{id}/withdraw", http.MethodPost, h.cancel},
+		{"/agent/beat", http.MethodPost, h.report},
+		{"/up", http.MethodGet, h.health},
 	} {
 		mux.HandleFunc(route.path, allowMethod(route.method, route.serve))
 	}
 	return mux
 }
 
-// handler turns requests into the core's events, and its replies into answers.
+// handler turns requests into events of the core, and the core's replies into responses.
 type handler struct {
 	backend    Backend
 	bodyReader bodyReader
 }
 
-func (e *handler) submit(w http.ResponseWriter, r *http.Request) {
-	body, ok := e.bodyReader.read(w, r, maxBody)
+func (h *handler) submit(w http.ResponseWriter, r *http.Request) {
+	body, ok := h.bodyReader.read(w, r, maxBody)
 	if !ok {
 		return
 	}
@@ -80,44 +84,46 @@
 		writeJSON(w, 400, core.Problem{Error: err.Error()}, 0)
 		return
 	}
-	wall := time.Now().UnixMilli()
-	processEvent(w, e.backend, submitTimeout, func(req uint64) core.Event { return core.Submit{RequestID: req, Job: *job, WallMs: wall} })
+	wallMs := time.Now().UnixMilli()
+	processEvent(w, h.backend, submitTimeout, func(requestID uint64) core.Event { return core.Submit{RequestID: requestID, Job: *job, WallMs: wallMs} })
 }
 
-func (e *handler) poll(w http.ResponseWriter, r *http.Request) {
+func (h *handler) poll(w http.ResponseWriter, r *http.Request) {
 	if id, ok := jobID(w, r); ok {
-		processEvent(w, e.backend, pollTimeout, func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} })
+		processEvent(w, h.backend, pollTimeout, func(requestID uint64) core.Event { return core.Poll{RequestID: requestID, ID: id} })
 	}
 }
 
-func (e *handler) cancel(w http.ResponseWriter, r *http.Request) {
+func (h *handler) cancel(w http.ResponseWriter, r *http.Request) {
 	if id, ok := jobID(w, r); ok {
-		processEvent(w, e.backend, submitTimeout, func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} })
+		processEvent(w, h.backend, submitTimeout, func(requestID uint64) core.Event { return core.Cancel{RequestID: requestID, ID: id} })
 	}
 }
 
-func (e *handler) report(w http.ResponseWriter, r *http.Request) {
-	// A worker's list may be long; it is bounded by what it runs.
-	body, ok := e.bodyReader.read(w, r, 16*maxBody)
+func (h *handler) report(w http.ResponseWriter, r *http.Request) {
+	// A report lists all tasks of its worker, so it may be longer than a submission. Its
+	// length is bounded by what a worker can run.
+	body, ok := h.bodyReader.read(w, r, 16*maxBody)
 	if !ok {
 		return
 	}
 	var report model.Report
-	if err := fast.Unmarshal(body, &report); err != nil || report.Host == "" {
+	if err := fastjson.Unmarshal(body, &report); err != nil || report.Host == "" {
 		writeJSON(w, 400, core.Problem{Error: "not a report"}, 0)
 		return
 	}
-	if e.backend.IsNearSocketLimit() {
+	if h.backend.IsNearSocketLimit() {
 		w.Header().Set("Connection", "close")
 	}
-	processEvent(closeUnlessOK{w}, e.backend, reportTimeout, func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: report} })
+	processEvent(closeUnlessOK{w}, h.backend, reportTimeout, func(requestID uint64) core.Event { return core.WorkerReport{RequestID: requestID, Report: report} })
 }
 
-func (e *handler) health(w http.ResponseWriter, _ *http.Request) {
-	processEvent(w, e.backend, pollTimeout, func(req uint64) core.Event { return core.HealthCheck{RequestID: req} })
+func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
+	processEvent(w, h.backend, pollTimeout, func(requestID uint64) core.Event { return core.HealthCheck{RequestID: requestID} })
 }
 
-// jobID is the job that a path names. One that no job can have is answered 404.
+// jobID returns the job id in the path of a request. It responds with 404 to an id that
+// no job can have.
 func jobID(w http.ResponseWriter, r *http.Request) (string, bool) {
 	id := r.PathValue("id")
 	if !isValidJobID(id) {
@@ -127,12 +133,13 @@
 	return id, true
 }
 
-// closeUnlessOK closes the connection of whoever isn't answered with 200: a worker
-// that is sent on has no use for it, and after a crash all workers of a large
-// fleet come by at every controller, whose sockets are few.
+// closeUnlessOK closes the connection after any response other than 200. A worker that is
+// redirected to the leader no longer needs its connection, and after a crash all workers
+// of a large fleet try every controller, each of which has few sockets.
 type closeUnlessOK struct{ http.ResponseWriter }
 
-// Unwrap is for package web, by the convention of net/http.
+// Unwrap lets package web find its own response writer. http.ResponseController uses the
+// same convention.
 func (r closeUnlessOK) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 func (r closeUnlessOK) WriteHeader(status int) {
@@ -142,7 +149,7 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// allowMethod answers requests of any other method with 405.
+// allowMethod responds with 405 to requests with any other method.
 func allowMethod(method string, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != method {
@@ -154,22 +161,23 @@
 	}
 }
 
-// bodyReader reads requests' bodies within bounds.
+// bodyReader reads the bodies of requests and limits the memory that they take. freeBytes
+// is what is left for bodies longer than smallBody.
 type bodyReader struct{ freeBytes atomic.Int64 }
 
-// smallBody is what nearly all bodies fit in.
+// smallBody is the size in bytes that nearly all bodies fit in.
 const smallBody = 4 << 10
 
-// read takes a body of at most that many bytes; a longer one is refused unread,
-// and one for which there is no room now is told to come back.
-func (b *bodyReader) read(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	if r.ContentLength > most {
-		rejectBody(w, &http.MaxBytesError{Limit: most})
+// read reads a body of at most limit bytes. It rejects a longer body without reading it.
+// If there is not enough free memory for a body now, it responds with 503 and Retry-After.
+func (b *bodyReader) read(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
+	if r.ContentLength > limit {
+		rejectBody(w, &http.MaxBytesError{Limit: limit})
 		return nil, false
 	}
 	size := r.ContentLength
 	if size < 0 {
-		size = most // not announced
+		size = limit // the request has no Content-Length
 	}
 	if size > smallBody {
 		defer b.freeBytes.Add(size)
@@ -180,14 +188,15 @@
 		}
 	}
 	var body bytes.Buffer
-	body.Grow(int(min(size, smallBody)) + bytes.MinRead) // more is believed when it comes
-	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, most)); err != nil {
+	body.Grow(int(min(size, smallBody)) + bytes.MinRead) // the buffer grows further only when bytes arrive
+	if _, err := body.ReadFrom(http.MaxBytesReader(w, r.Body, limit)); err != nil {
 		rejectBody(w, err)
 		return nil, false
 	}
 	return body.Bytes(), true
 }
 
+// rejectBody responds with 400 to a body that could not be read.
 func rejectBody(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
 	var tooLong *http.MaxBytesError
@@ -198,27 +207,30 @@
 	writeJSON(w, 400, core.Problem{Error: "body not readable"}, 0)
 }
 
-func processEvent(w http.ResponseWriter, n Backend, wait time.Duration, make func(uint64) core.Event) {
-	until := n.Now() + wait
-	if at := web.ArrivedAt(w); !at.IsZero() {
-		until -= time.Since(at) // it has waited for its turn
+// processEvent passes an event to the backend and writes its reply, or 503 if there is no
+// reply within the timeout.
+func processEvent(w http.ResponseWriter, backend Backend, timeout time.Duration, makeEvent func(uint64) core.Event) {
+	deadline := backend.Now() + timeout
+	if arrivedAt := web.ArrivedAt(w); !arrivedAt.IsZero() {
+		deadline -= time.Since(arrivedAt) // part of the timeout passed before the request was admitted
 	}
-	r, ok := n.Process(make, until, func() { web.AdmitNext(w) })
+	reply, ok := backend.Process(makeEvent, deadline, func() { web.AdmitNext(w) })
 	if !ok {
 		writeJSON(w, 503, core.Problem{Error: "overloaded"}, 1)
 		return
 	}
-	body, err := fast.Marshal(r.Body)
+	body, err := fastjson.Marshal(reply.Body)
 	if err != nil {
 		writeJSON(w, 500, core.Problem{Error: "reply not encodable"}, 0)
 		return
 	}
-	if r.SendBefore != 0 && n.Now() >= r.SendBefore {
-		// The entitlement behind the answer ended while it waited here.
+	if reply.SendBefore != 0 && backend.Now() >= reply.SendBefore {
+		// The right to act as leader, on which the reply depends, expired before the
+		// reply could be sent.
 		writeJSON(w, 503, core.Problem{Error: "no longer leading"}, 0)
 		return
 	}
-	writeResponse(w, r.Status, body, r.RetryAfter)
+	writeResponse(w, reply.Status, body, reply.RetryAfter)
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any, retryAfter int) {
@@ -233,11 +245,11 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	h["Date"] = nil // costs a clock reading and serves nobody here
+	h["Date"] = nil // no client uses it, and it would cost a reading of the clock
 	if retryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(retryAfter))
 	}
 	w.WriteHeader(status)
-	// An error means that the client has gone: nobody is left to tell.
+	// An error means that the client has disconnected.
 	_, _ = w.Write(body)
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -19,12 +19,12 @@
  "samePlace":true,"scatter":false,"loaners":true,"guessS":240.0,"snapshotEveryS":30.0,"snapshotCostS":4.0,"dueS":900.0,"new":[1]}`
 
 func TestParseJob(t *testing.T) {
-	j, err := ParseJob([]byte(validJob))
+	job, err := ParseJob([]byte(validJob))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.ID != "req-000412" || j.Tasks != 16 || j.GPUs != 1 || !j.OneZone || !j.Spot || *j.DueS != 900 || j.Zone != "" || j.Types[0] != "g8" {
-		t.Errorf("parsed as %+v", j)
+	if job.ID != "req-000412" || job.Tasks != 16 || job.GPUs != 1 || !job.OneZone || !job.Spot || *job.DueS != 900 || job.Zone != "" || job.Types[0] != "g8" {
+		t.Errorf("got %+v, want the values of validJob", job)
 	}
 	wrong := []struct{ from, to, want string }{
 		{validJob, `[1]`, "not a JSON object"},
@@ -44,41 +44,41 @@
 	}
 	for _, c := range wrong {
 		if _, err := ParseJob([]byte(strings.Replace(validJob, c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want a complaint about %s", c.to, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %q", c.to, err, c.want)
 		}
 	}
-	// What may be null may be left out.
+	// Fields that may be null may also be left out.
 	if _, err := ParseJob([]byte(strings.NewReplacer(`"flavors":["g8"],`, "", `"site":null,`, "", `,"dueS":900.0`, "").Replace(validJob))); err != nil {
-		t.Errorf("nullable fields left out: %v", err)
+		t.Errorf("nullable fields left out: got error %v, want none", err)
 	}
 }
 
-// fakeBackend answers every event in the same way.
+// fakeBackend gives the same reply to every event.
 type fakeBackend struct {
 	reply           core.Reply
 	ok              bool
 	now             time.Duration
 	lastEvent       core.Event
-	nearSocketLimit bool // few sockets are left
+	nearSocketLimit bool
 }
 
-func (f *fakeBackend) Process(make func(uint64) core.Event, _ time.Duration, accepted func()) (core.Reply, bool) {
-	accepted()
-	f.lastEvent = make(1)
+func (f *fakeBackend) Process(makeEvent func(uint64) core.Event, _ time.Duration, onAccepted func()) (core.Reply, bool) {
+	onAccepted()
+	f.lastEvent = makeEvent(1)
 	return f.reply, f.ok
 }
 func (f *fakeBackend) Now() time.Duration      { return f.now }
 func (f *fakeBackend) IsNearSocketLimit() bool { return f.nearSocketLimit }
 
-func serveRequest(f *fakeBackend, method, path, body string) *httptest.ResponseRecorder {
+func serveRequest(backend *fakeBackend, method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	Handler(f, 2*maxBody).ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	Handler(backend, 2*maxBody).ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w
 }
 
 func TestStatusCodes(t *testing.T) {
 	ok := &fakeBackend{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
-	full := &fakeBackend{}
+	overloaded := &fakeBackend{}
 	cases := []struct {
 		f                  *fakeBackend
 		method, path, body string
@@ -96,16 +96,16 @@
 		{ok, "POST", "/agent/beat", `{}`, 400},
 		{ok, "GET", "/up", "", 200},
 		{ok, "GET", "/elsewhere", "", 404},
-		{full, "POST", "/api/jobs", validJob, 503},
-		{full, "GET", "/api/jobs/req-000001", "", 503},
+		{overloaded, "POST", "/api/jobs", validJob, 503},
+		{overloaded, "GET", "/api/jobs/req-000001", "", 503},
 	}
 	for _, c := range cases {
 		w := serveRequest(c.f, c.method, c.path, c.body)
 		if w.Code != c.status {
-			t.Errorf("%s %s: %d, want %d", c.method, c.path, w.Code, c.status)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, w.Code, c.status)
 		}
 		if w.Code == 503 && w.Header().Get("Retry-After") == "" {
-			t.Errorf("%s %s: 503 without Retry-After", c.method, c.path)
+			t.Errorf("%s %s: got 503 without Retry-After, want the header", c.method, c.path)
 		}
 	}
 }
@@ -113,53 +113,53 @@
 func TestLongBodyRefusedUnread(t *testing.T) {
 	w := serveRequest(&fakeBackend{ok: true}, "POST", "/api/jobs", `{"id":"`+strings.Repeat("x", 70<<10)+`"}`)
 	if w.Code != 400 || w.Header().Get("Connection") != "close" {
-		t.Errorf("got %d, Connection %q", w.Code, w.Header().Get("Connection"))
+		t.Errorf("got status %d, Connection %q, want 400, \"close\"", w.Code, w.Header().Get("Connection"))
 	}
 }
 
-// TestLargeBodiesShareMemoryLimit: long bodies that are still on their way take a
-// bounded part of the memory; whoever finds none left is told to come back at
-// once, and short requests are served all the same.
+// TestLargeBodiesShareMemoryLimit checks that long bodies that are being read take a
+// bounded part of the memory. A client with a long body beyond that gets 503 with
+// Retry-After at once, and short requests are still served.
 func TestLargeBodiesShareMemoryLimit(t *testing.T) {
-	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{}}, ok: true}
-	h := Handler(f, 20<<10)
-	beat := func(body io.Reader, length int64) *httptest.ResponseRecorder {
+	backend := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{}}, ok: true}
+	handler := Handler(backend, 20<<10)
+	report := func(body io.Reader, length int64) *httptest.ResponseRecorder {
 		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", "/agent/beat", body)
 		r.ContentLength = length
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		return w
 	}
-	long := `{"host":"n-1","x":"` + strings.Repeat("x", 16<<10) + `"}`
-	pr, pw := io.Pipe()
+	longBody := `{"host":"n-1","x":"` + strings.Repeat("x", 16<<10) + `"}`
+	bodyReader, bodyWriter := io.Pipe()
 	first := make(chan int)
-	go func() { first <- beat(pr, int64(len(long))).Code }()
-	if _, err := io.WriteString(pw, long[:1]); err != nil { // its handler reads
+	go func() { first <- report(bodyReader, int64(len(longBody))).Code }()
+	if _, err := io.WriteString(bodyWriter, longBody[:1]); err != nil { // returns once the handler reads the body
 		t.Fatal(err)
 	}
-	if w := beat(strings.NewReader(long), int64(len(long))); w.Code != 503 || w.Header().Get("Retry-After") == "" {
-		t.Errorf("a second long body is answered %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
+	if w := report(strings.NewReader(longBody), int64(len(longBody))); w.Code != 503 || w.Header().Get("Retry-After") == "" {
+		t.Errorf("second long body: got status %d, Retry-After %q, want 503 with Retry-After", w.Code, w.Header().Get("Retry-After"))
 	}
-	if w := beat(strings.NewReader(`{"host":"n-1"}`), 14); w.Code != 200 {
-		t.Errorf("a short one beside it is answered %d", w.Code)
+	if w := report(strings.NewReader(`{"host":"n-1"}`), 14); w.Code != 200 {
+		t.Errorf("short body while a long one is read: got status %d, want 200", w.Code)
 	}
-	if _, err := io.WriteString(pw, long[1:]); err != nil {
+	if _, err := io.WriteString(bodyWriter, longBody[1:]); err != nil {
 		t.Fatal(err)
 	}
-	pw.Close()
+	bodyWriter.Close()
 	if code := <-first; code != 200 {
-		t.Errorf("the first long body is answered %d", code)
+		t.Errorf("first long body: got status %d, want 200", code)
 	}
-	if w := beat(strings.NewReader(long), int64(len(long))); w.Code != 200 {
-		t.Errorf("a long body after it is answered %d", w.Code)
+	if w := report(strings.NewReader(longBody), int64(len(longBody))); w.Code != 200 {
+		t.Errorf("long body after the first one: got status %d, want 200", w.Code)
 	}
 }
 
-// TestReportAllocations: what a report allocates on its way in and out stays
-// bounded, and grows by the tasks that it lists and nothing else.
+// TestReportAllocations bounds the allocations of a report and its reply, which should
+// grow only with the number of tasks that the report lists.
 func TestReportAllocations(t *testing.T) {
-	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5, Orders: []model.Order{}}}, ok: true}
-	h := Handler(f, 1<<20)
-	cost := func(tasks int) float64 {
+	backend := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5, Orders: []model.Order{}}}, ok: true}
+	handler := Handler(backend, 1<<20)
+	allocations := func(tasks int) float64 {
 		var list []string
 		for i := range tasks {
 			list = append(list, fmt.Sprintf(`{"piece":"req-000412/%d","try":16777217,"phase":"running"}`, i))
@@ -170,65 +170,66 @@
 		return testing.AllocsPerRun(100, func() {
 			r.Body = io.NopCloser(strings.NewReader(body))
 			w := httptest.NewRecorder()
-			if h.ServeHTTP(w, r); w.Code != 200 {
-				t.Fatalf("answered %d", w.Code)
+			if handler.ServeHTTP(w, r); w.Code != 200 {
+				t.Fatalf("got status %d, want 200", w.Code)
 			}
 		})
 	}
-	none, four, sixteen := cost(0), cost(4), cost(16)
+	none, four, sixteen := allocations(0), allocations(4), allocations(16)
 	if none > 28 || four-none > 12 || sixteen-four > 30 {
-		t.Errorf("allocations of reports with 0, 4 and 16 tasks: %v, %v, %v", none, four, sixteen)
+		t.Errorf("reports with 0, 4 and 16 tasks: got %v, %v and %v allocations, want at most 28 for no task, 12 more for 4 tasks and 30 more for 16 than for 4", none, four, sixteen)
 	}
 }
 
-// TestReplyAfterLeadershipExpiredIsRefused: an answer that waited for the processor past the
-// leader's entitlement must not renew a worker's lease.
+// TestReplyAfterLeadershipExpiredIsRefused checks that a reply to a report is not sent once
+// the leader's right to act has expired. A reply can be delayed that long on a busy
+// processor, and it would renew the worker's lease.
 func TestReplyAfterLeadershipExpiredIsRefused(t *testing.T) {
-	f := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, SendBefore: time.Second}, ok: true, now: time.Second}
-	if w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 503 {
-		t.Errorf("got %d after the entitlement ended", w.Code)
+	backend := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 5}, SendBefore: time.Second}, ok: true, now: time.Second}
+	if w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 503 {
+		t.Errorf("reply after the leadership expired: got status %d, want 503", w.Code)
 	}
 }
 
 func TestReportAndOrdersWireFormat(t *testing.T) {
-	f := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
+	backend := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
 		{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2},
 		{Verb: model.OrderKill, Task: "req-000377/1", Attempt: 1, GraceS: new(float64)},
 	}}}}
-	w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,
+	w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,
 	 "tenure":1,"tick":88,"epoch":41,"recallS":7.5,"pieces":[{"piece":"req-000412/3","try":2,"phase":"exited","cause":"done"}]}`)
 	want := `{"epoch":41,"orders":[{"verb":"start","piece":"req-000412/4","try":2},{"verb":"kill","piece":"req-000377/1","try":1,"windDownS":0}]}`
 	if w.Body.String() != want {
-		t.Errorf("orders: %s", w.Body)
+		t.Errorf("got orders %s, want the verbs, tasks and attempts of the reply", w.Body)
 	}
-	got, _ := json.Marshal(f.lastEvent)
+	got, _ := json.Marshal(backend.lastEvent)
 	for _, part := range []string{`"host":"n-000231"`, `"recallS":7.5`, `"tick":88`, `"cause":"done"`} {
 		if !strings.Contains(string(got), part) {
-			t.Errorf("report lost %s: %s", part, got)
+			t.Errorf("want a report that contains %s, got %s", part, got)
 		}
 	}
-	if f.lastEvent.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
-		t.Error(fmt.Sprint(f.lastEvent))
+	if backend.lastEvent.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
+		t.Error(fmt.Sprint(backend.lastEvent))
 	}
 }
 
-// TestRefusedWorkersAreDisconnected: a worker that is sent on must not keep a socket of a
-// controller that has few; one that is answered keeps its connection.
+// TestRefusedWorkersAreDisconnected checks that the connection of a worker is closed if its
+// report is refused, because the sockets of a controller are few, and is kept otherwise.
 func TestRefusedWorkersAreDisconnected(t *testing.T) {
 	for status, want := range map[int]string{200: "", 421: "close", 503: "close"} {
-		f := &fakeBackend{ok: true, reply: core.Reply{Status: status, Body: core.Redirect{Leader: "peon-2"}}}
-		w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`)
+		backend := &fakeBackend{ok: true, reply: core.Reply{Status: status, Body: core.Redirect{Leader: "c1"}}}
+		w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-1"}`)
 		if w.Code != status || w.Header().Get("Connection") != want {
-			t.Errorf("status %d, Connection %q; want %d, %q", w.Code, w.Header().Get("Connection"), status, want)
+			t.Errorf("got status %d, Connection %q, want %d, %q", w.Code, w.Header().Get("Connection"), status, want)
 		}
 	}
-	// With few sockets left a worker connects anew for each report; a user
-	// keeps the connection.
-	f := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, nearSocketLimit: true}
-	if w := serveRequest(f, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
-		t.Errorf("few sockets left: a worker is answered %d and keeps its connection", w.Code)
+	// When few sockets are left, the connection of a worker is closed after each report.
+	// Users keep theirs.
+	backend := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, nearSocketLimit: true}
+	if w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
+		t.Errorf("few sockets left: got status %d for a worker, want 200 and a closed connection", w.Code)
 	}
-	if w := serveRequest(f, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
-		t.Error("few sockets left: a user's connection is closed")
+	if w := serveRequest(backend, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
+		t.Error("few sockets left: got a closed connection of a user, want it kept")
 	}
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -12,9 +12,9 @@
 	"mulleinfall/internal/model"
 )
 
-// The form of a submission.
+// Validation of submissions.
 
-// isValidJobID says whether id has the form of job ids: "req-" and digits.
+// isValidJobID reports whether id has the form of a job id: "req-" and 6 to 20 digits.
 func isValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "req-")
 	if !ok || len(digits) < 6 || len(digits) > 20 {
@@ -28,56 +28,56 @@
 	return true
 }
 
-// requiredFields lists the fields of a submission that may not be left out.
+// requiredFields lists the fields that every submission must contain.
 var requiredFields = []string{"id", "lane", "owner", "shape", "rank", "pieces", "cpus", "cards", "memoryGb",
 	"build", "pullGb", "samePlace", "scatter", "loaners", "guessS", "snapshotEveryS", "snapshotCostS"}
 
-// ParseJob reads a submission and checks its form.
+// ParseJob decodes a submission and validates it.
 func ParseJob(body []byte) (*model.Job, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
 		return nil, errors.New("not a JSON object")
 	}
-	for _, f := range requiredFields {
-		v, ok := fields[f]
-		if !ok || bytes.Equal(v, []byte("null")) {
-			return nil, fmt.Errorf("%s: missing", f)
+	for _, field := range requiredFields {
+		value, ok := fields[field]
+		if !ok || bytes.Equal(value, []byte("null")) {
+			return nil, fmt.Errorf("%s: missing", field)
 		}
 	}
-	var j model.Job
-	if err := json.Unmarshal(body, &j); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			return nil, fmt.Errorf("%s: not valid", te.Field)
+	var job model.Job
+	if err := json.Unmarshal(body, &job); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, fmt.Errorf("%s: not valid", typeErr.Field)
 		}
 		return nil, errors.New("not valid")
 	}
-	if v, ok := fields["flavors"]; ok && !bytes.Equal(v, []byte("null")) && len(j.Types) == 0 {
+	if value, ok := fields["flavors"]; ok && !bytes.Equal(value, []byte("null")) && len(job.Types) == 0 {
 		return nil, errors.New("flavors: empty")
 	}
 	for _, check := range []func(*model.Job) error{checkStrings, checkNumbers} {
-		if err := check(&j); err != nil {
+		if err := check(&job); err != nil {
 			return nil, err
 		}
 	}
-	return &j, nil
+	return &job, nil
 }
 
-// maxNameBytes bounds the names that users choose, in bytes.
+// maxNameBytes bounds the length of the names that users choose.
 const maxNameBytes = 200
 
-func isValidName(s string) bool { return s != "" && len(s) <= maxNameBytes }
+func isValidName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// checkStrings checks the fields of a submission that hold words.
-func checkStrings(j *model.Job) error {
+// checkStrings checks the fields of a submission that contain strings.
+func checkStrings(job *model.Job) error {
 	for _, f := range []struct {
 		field string
 		valid bool
 	}{
-		{"id", isValidJobID(j.ID)}, {"lane", isValidName(j.Class)}, {"owner", isValidName(j.Team)}, {"build", isValidName(j.Image)},
-		{"shape", slices.Contains([]string{model.KindBatch, model.KindService, model.KindGang}, j.Kind)},
-		{"rank", slices.Contains([]string{model.PriorityProd, model.PriorityHigh, model.PriorityNormal, model.PriorityLow}, j.Priority)},
-		{"flavors", !slices.Contains(j.Types, "")},
+		{"id", isValidJobID(job.ID)}, {"lane", isValidName(job.Class)}, {"owner", isValidName(job.Team)}, {"build", isValidName(job.Image)},
+		{"shape", slices.Contains([]string{model.KindBatch, model.KindService, model.KindGang}, job.Kind)},
+		{"rank", slices.Contains([]string{model.PriorityProd, model.PriorityHigh, model.PriorityNormal, model.PriorityLow}, job.Priority)},
+		{"flavors", !slices.Contains(job.Types, "")},
 	} {
 		if !f.valid {
 			return fmt.Errorf("%s: not valid", f.field)
@@ -92,23 +92,23 @@
 	maxNumber = 1e9
 )
 
-// checkNumbers checks the fields of a submission that hold numbers.
-func checkNumbers(j *model.Job) error {
-	if j.Tasks < 1 || j.Tasks > maxTasks {
+// checkNumbers checks the fields of a submission that contain numbers.
+func checkNumbers(job *model.Job) error {
+	if job.Tasks < 1 || job.Tasks > maxTasks {
 		return fmt.Errorf("pieces: not within 1 and %d", maxTasks)
 	}
-	for _, a := range []struct {
+	for _, number := range []struct {
 		field string
 		value float64
 	}{
-		{"cpus", j.CPUs}, {"cards", j.GPUs}, {"memoryGb", j.MemoryGB}, {"pullGb", j.ImageGB},
-		{"guessS", j.EstimateS}, {"snapshotEveryS", j.CheckpointEveryS}, {"snapshotCostS", j.CheckpointCostS},
+		{"cpus", job.CPUs}, {"cards", job.GPUs}, {"memoryGb", job.MemoryGB}, {"pullGb", job.ImageGB},
+		{"guessS", job.EstimateS}, {"snapshotEveryS", job.CheckpointEveryS}, {"snapshotCostS", job.CheckpointCostS},
 	} {
-		if !(a.value >= 0) || a.value > maxNumber {
-			return fmt.Errorf("%s: not valid", a.field)
+		if !(number.value >= 0) || number.value > maxNumber {
+			return fmt.Errorf("%s: not valid", number.field)
 		}
 	}
-	if j.DueS != nil && (!(*j.DueS >= 0) || math.IsInf(*j.DueS, 0)) {
+	if job.DueS != nil && (!(*job.DueS >= 0) || math.IsInf(*job.DueS, 0)) {
 		return errors.New("dueS: not valid")
 	}
 	return nil
