--- a/internal/direct/direct_linux.go
+++ b/internal/direct/direct_linux.go
@@ -1,8 +1,10 @@
-// Package direct reads and writes sockets by system calls that the runtime isn't
-// told of. It need not be: such a socket never blocks, and net still does the
-// waiting. Told of a call, a process that was idle wakes the runtime's watchdog
-// thread, which then looks around some 20 µs apart until all is idle again: on a
-// controller that wakes up for each report that was two fifths of all its
+// Package direct reads and writes sockets by raw system calls, without notifying the Go
+// runtime. That is safe because the sockets are non-blocking: a call never waits, and
+// package net waits until a socket is ready.
+//
+// When an idle process notifies the runtime of a system call, the runtime wakes its
+// monitor thread, which then polls about every 20 µs until the process is idle again. On
+// a controller that wakes up for each worker report, that took two fifths of all its
 // processor time.
 package direct
 
@@ -13,33 +15,34 @@
 	"unsafe"
 )
 
-// Wrap is c with direct reads and writes, or c itself where it has no socket of
-// that kind.
+// Wrap returns c with direct reads and writes, or c itself if it is not a TCP connection.
 func Wrap(c net.Conn) net.Conn {
-	t, ok := c.(*net.TCPConn)
+	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return c
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return c
 	}
 	return &conn{Conn: c, raw: raw}
 }
 
+// conn is a TCP connection with direct reads and writes.
 type conn struct {
 	net.Conn
 	raw syscall.RawConn
 }
 
-// retrySyscall makes one system call on the socket as often as it takes, and waits by
-// way of wait (the raw connection's Read or Write) while it would block.
-func retrySyscall(wait func(func(fd uintptr) bool) error, number uintptr, p []byte) (int, error) {
+// retrySyscall makes a read or write system call on a socket. It repeats the call if it
+// is interrupted. If the call would block, wait (the raw connection's Read or Write) waits
+// until the socket is ready and the call is repeated.
+func retrySyscall(wait func(func(fd uintptr) bool) error, number uintptr, buffer []byte) (int, error) {
 	var n uintptr
 	var errno syscall.Errno
 	err := wait(func(fd uintptr) bool {
 		for {
-			n, _, errno = syscall.RawSyscall(number, fd, uintptr(unsafe.Pointer(unsafe.SliceData(p))), uintptr(len(p)))
+			n, _, errno = syscall.RawSyscall(number, fd, uintptr(unsafe.Pointer(unsafe.SliceData(buffer))), uintptr(len(buffer)))
 			if errno != syscall.EINTR {
 				return errno != syscall.EAGAIN
 			}
@@ -66,13 +69,13 @@
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	done := 0
-	for done < len(p) {
-		n, err := retrySyscall(c.raw.Write, syscall.SYS_WRITE, p[done:])
+	written := 0
+	for written < len(p) {
+		n, err := retrySyscall(c.raw.Write, syscall.SYS_WRITE, p[written:])
 		if err != nil {
-			return done, err
+			return written, err
 		}
-		done += n
+		written += n
 	}
-	return done, nil
+	return written, nil
 }
--- a/internal/direct/direct_other.go
+++ b/internal/direct/direct_other.go
@@ -1,9 +1,10 @@
 //go:build !linux
 
-// Package direct is of use on Linux only.
+// Package direct reads and writes sockets by raw system calls on Linux. On other systems
+// it leaves connections unchanged.
 package direct
 
 import "net"
 
-// Conn is c as it is.
-func Conn(c net.Conn) net.Conn { return c }
+// Wrap returns c unchanged.
+func Wrap(c net.Conn) net.Conn { return c }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer carries messages between controllers: msgpack over one TCP
-// connection in each direction. A message may be lost or late; the core
-// counts with both.
+// Package peer sends messages between controllers, encoded as msgpack over one TCP
+// connection in each direction. Messages may be lost or late, which the core tolerates.
 package peer
 
 import (
@@ -20,16 +19,17 @@
 	"mulleinfall/internal/direct"
 )
 
-// Limits of the channel. A frame holds at most a job's description (64 KiB, as a
-// user may send it) or the counts of 1,000 jobs, some 20 KiB. What waits for a
-// peer that is slow or out of reach is dropped beyond the limit: promises are
-// asked for again within a second, news comes by the state service as well.
+// Limits of a connection, in bytes and messages. A frame contains at most the
+// description of a job (64 KiB, the longest submission) or the task counts of 1,000 jobs
+// (about 20 KiB). Messages beyond maxQueuedMessages for a slow or unreachable peer are
+// dropped: promises are requested again within a second, and changes also arrive through
+// the state service.
 const (
 	maxFrameBytes     = 1 << 20
 	maxQueuedMessages = 256
 )
 
-// envelope is a frame: who sends it, and the message.
+// envelope is the content of a frame: the name of the sender and the message.
 type envelope struct {
 	From string       `msgpack:"f"`
 	Msg  core.PeerMsg `msgpack:"m"`
@@ -42,12 +42,13 @@
 	queue      chan core.PeerMsg
 }
 
-// NewLink makes a link from self to the peer at addr; Run serves it.
+// NewLink returns a link from self to the peer at addr. Run sends its messages; timeout
+// bounds each connection attempt and each write.
 func NewLink(self, addr string, timeout time.Duration) *Link {
 	return &Link{self: self, addr: addr, timeout: timeout, queue: make(chan core.PeerMsg, maxQueuedMessages)}
 }
 
-// Send queues a message, or drops it when the peer can't keep up.
+// Send queues a message, or drops it if the queue is full.
 func (l *Link) Send(m core.PeerMsg) {
 	select {
 	case l.queue <- m:
@@ -55,16 +56,17 @@
 	}
 }
 
-// Run keeps a connection to the peer while there is something to say.
+// Run sends the queued messages until ctx is cancelled. It connects when there is a
+// message to send, and connects again after an error.
 func (l *Link) Run(ctx context.Context) {
 	var conn net.Conn
-	drop := func() {
+	closeConn := func() {
 		if conn != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
-	defer drop()
+	defer closeConn()
 	for {
 		var m core.PeerMsg
 		select {
@@ -72,14 +74,14 @@
 			return
 		case m = <-l.queue:
 		}
-		b, err := encode(envelope{l.self, m})
+		frame, err := encode(envelope{l.self, m})
 		if err != nil {
 			slog.Error("peer message not encoded", "error", err)
 			continue
 		}
 		if conn == nil {
-			d := net.Dialer{Timeout: l.timeout}
-			c, err := d.DialContext(ctx, "tcp", l.addr)
+			dialer := net.Dialer{Timeout: l.timeout}
+			c, err := dialer.DialContext(ctx, "tcp", l.addr)
 			if err != nil {
 				slog.Debug("peer not reached", "peer", l.addr, "error", err)
 				l.dropQueue()
@@ -88,17 +90,17 @@
 			conn = direct.Wrap(c)
 		}
 		if err := conn.SetWriteDeadline(time.Now().Add(l.timeout)); err == nil {
-			_, err = conn.Write(b)
+			_, err = conn.Write(frame)
 			if err == nil {
 				continue
 			}
 		}
-		drop()
+		closeConn()
 	}
 }
 
-// dropQueue forgets what has piled up for a peer that can't be reached: by the
-// time it can be, it would be stale.
+// dropQueue drops the messages queued for a peer that can't be reached. They would be
+// stale by the time the peer can be reached again.
 func (l *Link) dropQueue() {
 	for {
 		select {
@@ -109,6 +111,8 @@
 	}
 }
 
+// encode returns a frame: the length of the encoded envelope in four bytes, big-endian,
+// and the envelope.
 func encode(e envelope) ([]byte, error) {
 	body, err := msgpack.Marshal(e)
 	if err != nil {
@@ -120,23 +124,24 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...), nil
 }
 
-// ReadFrames takes frames from a connection until it ends.
+// ReadFrames reads frames from a connection and delivers their messages until the
+// connection ends.
 func ReadFrames(r io.Reader, deliver func(from string, m core.PeerMsg)) error {
-	br := bufio.NewReader(r)
-	var head [4]byte
+	reader := bufio.NewReader(r)
+	var lengthPrefix [4]byte
 	for {
-		if _, err := io.ReadFull(br, head[:]); err != nil {
+		if _, err := io.ReadFull(reader, lengthPrefix[:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
 			return err
 		}
-		n := binary.BigEndian.Uint32(head[:])
-		if n > maxFrameBytes {
-			return fmt.Errorf("frame of %d bytes is too long", n)
+		length := binary.BigEndian.Uint32(lengthPrefix[:])
+		if length > maxFrameBytes {
+			return fmt.Errorf("frame of %d bytes is too long", length)
 		}
-		body := make([]byte, n)
-		if _, err := io.ReadFull(br, body); err != nil {
+		body := make([]byte, length)
+		if _, err := io.ReadFull(reader, body); err != nil {
 			return err
 		}
 		var e envelope
@@ -147,7 +152,7 @@
 	}
 }
 
-// Serve accepts the peers' connections.
+// Serve accepts connections of peers until ctx is cancelled.
 func Serve(ctx context.Context, ln net.Listener, deliver func(from string, m core.PeerMsg)) error {
 	for {
 		conn, err := ln.Accept()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,36 +15,36 @@
 		{Kind: core.MsgChange, Key: "k", Value: []byte(`{"a":1}`), Stamp: 1 << 52},
 		{Kind: core.MsgRunningCounts, Counts: map[string]int{"req-000001": 3}},
 	}
-	var wire bytes.Buffer
+	var stream bytes.Buffer
 	for _, m := range msgs {
-		b, err := encode(envelope{"n0", m})
+		frame, err := encode(envelope{"n0", m})
 		if err != nil {
 			t.Fatal(err)
 		}
-		wire.Write(b)
+		stream.Write(frame)
 	}
 	var got []core.PeerMsg
-	if err := ReadFrames(&wire, func(from string, m core.PeerMsg) {
+	if err := ReadFrames(&stream, func(from string, m core.PeerMsg) {
 		if from != "n0" {
-			t.Errorf("from %q", from)
+			t.Errorf("got sender %q, want \"n0\"", from)
 		}
 		got = append(got, m)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, msgs) {
-		t.Errorf("got %+v", got)
+		t.Errorf("got messages %+v, want those that were encoded", got)
 	}
 }
 
 func TestBadFramesEndTheConnection(t *testing.T) {
-	for name, b := range map[string][]byte{
+	for name, frame := range map[string][]byte{
 		"too long":  {0xff, 0xff, 0xff, 0xff},
 		"cut short": {0, 0, 0, 9, 1},
 		"garbage":   {0, 0, 0, 2, 0xc1, 0xc1},
 	} {
-		if err := ReadFrames(bytes.NewReader(b), func(string, core.PeerMsg) { t.Errorf("%s: delivered", name) }); err == nil {
-			t.Errorf("%s: no error", name)
+		if err := ReadFrames(bytes.NewReader(frame), func(string, core.PeerMsg) { t.Errorf("%s: got a message, want none", name) }); err == nil {
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
