--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,5 @@
-// Package cloud speaks the protocol of the cloud that rents machines.
+// Package cloud is a client of the cloud that machines are rented from. It makes the calls
+// that the core requests and returns their results.
 package cloud
 
 import (
@@ -16,7 +17,7 @@
 	"mulleinfall/internal/model"
 )
 
-// Client calls the cloud at Addr.
+// Client calls the cloud at Addr (host:port). Timeout bounds each call.
 type Client struct {
 	Addr    string
 	HTTP    *http.Client
@@ -25,6 +26,7 @@
 
 const maxResponseBytes = 4 << 20
 
+// wireRent is the body of a rental request.
 type wireRent struct {
 	Request string `json:"hire"`
 	Type    string `json:"flavor"`
@@ -33,62 +35,65 @@
 	Count   int    `json:"howMany"`
 }
 
+// wireReturn is the body of a request that returns machines.
 type wireReturn struct {
 	Hosts []string `json:"hosts"`
 }
 
-// Do carries a call out.
+// Do makes a call and returns its result. Status 0 means that the outcome is unknown.
 func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	done := core.CloudResult{CallID: call.CallID}
+	result := core.CloudResult{CallID: call.CallID}
 	var err error
 	switch call.Op {
 	case core.CloudTypes:
-		var ans struct {
+		var resp struct {
 			Types []model.MachineType `json:"flavors"`
 		}
-		done.Status, err = c.exchange(ctx, http.MethodGet, "/flavors", nil, &ans)
-		done.Types = ans.Types
+		result.Status, err = c.exchange(ctx, http.MethodGet, "/flavors", nil, &resp)
+		result.Types = resp.Types
 	case core.CloudList:
-		var ans struct {
+		var resp struct {
 			Hosts []model.ListedMachine `json:"hosts"`
 			More  bool                  `json:"truncated"`
 		}
-		q := url.Values{"page": {strconv.Itoa(call.Limit)}}
+		query := url.Values{"page": {strconv.Itoa(call.Limit)}}
 		if call.After != "" {
-			q.Set("after", call.After)
+			query.Set("after", call.After)
 		}
-		done.Status, err = c.exchange(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &ans)
-		done.Listed, done.More = ans.Hosts, ans.More
+		result.Status, err = c.exchange(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &resp)
+		result.Listed, result.More = resp.Hosts, resp.More
 	case core.CloudRent:
-		var ans struct {
+		var resp struct {
 			Hosts []string `json:"hosts"`
 		}
-		done.Status, err = c.exchange(ctx, http.MethodPost, "/machines",
-			wireRent{call.Request, call.Type, call.Zone, call.Spot, call.Count}, &ans)
-		done.Hosts = ans.Hosts
+		result.Status, err = c.exchange(ctx, http.MethodPost, "/machines",
+			wireRent{call.Request, call.Type, call.Zone, call.Spot, call.Count}, &resp)
+		result.Hosts = resp.Hosts
 	case core.CloudReturn:
-		done.Status, err = c.exchange(ctx, http.MethodPost, "/machines/return", wireReturn{call.Hosts}, &struct{}{})
+		result.Status, err = c.exchange(ctx, http.MethodPost, "/machines/return", wireReturn{call.Hosts}, &struct{}{})
 	default:
 		err = fmt.Errorf("unknown call %q", call.Op)
 	}
 	if err != nil {
-		done.Status, done.Err = 0, err.Error()
+		result.Status, result.Err = 0, err.Error()
 	}
-	return done
+	return result
 }
 
-func (c *Client) exchange(ctx context.Context, method, path string, body, into any) (int, error) {
-	var rd io.Reader
+// exchange sends a request, decodes the response of status 200 into result and returns
+// the status. An error means that the outcome of the call is unknown.
+func (c *Client) exchange(ctx context.Context, method, path string, body, result any) (int, error) {
+	var bodyReader io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
 		if err != nil {
 			return 0, fmt.Errorf("encode: %w", err)
 		}
-		rd = bytes.NewReader(b)
+		bodyReader = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Addr+path, bodyReader)
 	if err != nil {
 		return 0, fmt.Errorf("request: %w", err)
 	}
@@ -102,7 +107,7 @@
 		return 0, fmt.Errorf("read: %w", err)
 	}
 	if resp.StatusCode == http.StatusOK && len(bytes.TrimSpace(b)) > 0 {
-		if err := json.Unmarshal(b, into); err != nil {
+		if err := json.Unmarshal(b, result); err != nil {
 			return 0, fmt.Errorf("decode: %w", err)
 		}
 	}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -13,14 +13,14 @@
 	"mulleinfall/internal/core"
 )
 
-// TestWireFormat checks each call and answer against the protocol's own examples.
+// TestWireFormat checks each call and its response against the examples of the protocol.
 func TestWireFormat(t *testing.T) {
 	cases := []struct {
-		call    core.CloudCall
-		request string
-		status  int
-		answer  string
-		want    string // of the result, as JSON
+		call     core.CloudCall
+		request  string
+		status   int
+		response string
+		want     string // part of the result, as JSON
 	}{
 		{core.CloudCall{Op: core.CloudTypes}, "GET /flavors ", 200,
 			`{"flavors":[{"label":"g8","cpus":96,"cards":8,"memoryGb":768,"localGb":200,"fetchGbPerS":1.0,"price":12.0,"marketPrice":4.5,"bootS":45,"sites":["a","b"]}]}`,
@@ -37,34 +37,34 @@
 			`"id":"n-000231","endpoint":"10.1.0.232:9000","flavor":"g8","site":"a","loaners":true,"phase":"running","ageS":61.5}],"More":true`},
 	}
 	for _, c := range cases {
-		var got string
+		var request string
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
-			got = r.Method + " " + r.URL.RequestURI() + " " + string(b)
+			request = r.Method + " " + r.URL.RequestURI() + " " + string(b)
 			w.WriteHeader(c.status)
-			_, _ = io.WriteString(w, c.answer)
+			_, _ = io.WriteString(w, c.response)
 		}))
-		cl := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client(), Timeout: 10 * time.Second}
-		done := cl.Do(context.Background(), c.call)
+		client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client(), Timeout: 10 * time.Second}
+		result := client.Do(context.Background(), c.call)
 		srv.Close()
-		if got != c.request {
-			t.Errorf("%s: sent %s\nwant %s", c.call.Op, got, c.request)
+		if request != c.request {
+			t.Errorf("%s: got request %s\nwant %s", c.call.Op, request, c.request)
 		}
-		if b, _ := json.Marshal(done); !strings.Contains(string(b), c.want) {
-			t.Errorf("%s: got %s\nwant %s", c.call.Op, b, c.want)
+		if b, _ := json.Marshal(result); !strings.Contains(string(b), c.want) {
+			t.Errorf("%s: got result %s\nwant it to contain %s", c.call.Op, b, c.want)
 		}
 	}
 }
 
-// TestBrokenResponseMeansUnknownOutcome: a rental whose answer is cut short may have been
-// made, so it must not pass for refused.
+// TestBrokenResponseMeansUnknownOutcome checks that a rental whose response is truncated is
+// not treated as refused, because the machine may have been rented.
 func TestBrokenResponseMeansUnknownOutcome(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, `{"hosts":["n-0002`)
 	}))
 	defer srv.Close()
-	cl := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client(), Timeout: 10 * time.Second}
-	if d := cl.Do(context.Background(), core.CloudCall{Op: core.CloudRent, Request: "r-1"}); d.Status != 0 {
-		t.Errorf("status %d", d.Status)
+	client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client(), Timeout: 10 * time.Second}
+	if result := client.Do(context.Background(), core.CloudCall{Op: core.CloudRent, Request: "r-1"}); result.Status != 0 {
+		t.Errorf("got status %d, want 0", result.Status)
 	}
 }
--- a/internal/doc_test.go
+++ b/internal/doc_test.go
@@ -1,4 +1,4 @@
-// Package internal_test checks what concerns all packages below this folder.
+// Package internal_test contains checks of all packages of the program.
 package internal_test
 
 import (
@@ -11,25 +11,25 @@
 	"testing"
 )
 
-// TestExportedItemsAreDocumented: staticcheck looks at the form of comments, not
-// at whether there are any.
+// TestExportedItemsAreDocumented checks that exported items have a comment. staticcheck
+// checks only the form of comments that exist.
 func TestExportedItemsAreDocumented(t *testing.T) {
-	seen := 0
+	declarations := 0
 	for _, root := range []string{".", "../cmd"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			files := token.NewFileSet()
-			f, err := parser.ParseFile(files, path, nil, parser.ParseComments)
+			file, err := parser.ParseFile(files, path, nil, parser.ParseComments)
 			if err != nil {
 				return err
 			}
-			for _, decl := range f.Decls {
+			for _, decl := range file.Decls {
 				for _, name := range undocumented(decl) {
-					t.Errorf("%s: %s has no comment", files.Position(decl.Pos()), name)
+					t.Errorf("%s: exported name %s has no comment", files.Position(decl.Pos()), name)
 				}
-				seen++
+				declarations++
 			}
 			return nil
 		})
@@ -37,17 +37,17 @@
 			t.Fatal(err)
 		}
 	}
-	if seen < 500 {
-		t.Errorf("%d declarations seen", seen)
+	if declarations < 500 {
+		t.Errorf("got %d declarations, want at least 500", declarations)
 	}
 }
 
-// undocumented lists the exported names of a declaration that have no comment, of
-// their own or of their group.
+// undocumented returns the exported names of a declaration that have neither a comment of
+// their own nor one of their group.
 func undocumented(decl ast.Decl) []string {
 	switch d := decl.(type) {
 	case *ast.FuncDecl:
-		if d.Name.IsExported() && d.Doc == nil && exportedReceiver(d) {
+		if d.Name.IsExported() && d.Doc == nil && hasExportedReceiver(d) {
 			return []string{d.Name.Name}
 		}
 	case *ast.GenDecl:
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// exportedReceiver says whether users of the package see a method at all. What the
-// heap interface asks for is not worth a comment each time.
-func exportedReceiver(d *ast.FuncDecl) bool {
+// hasExportedReceiver reports whether d is a function, or a method of an exported type.
+// Methods of other types need no comment, such as the implementations of heap.Interface.
+func hasExportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -1,5 +1,5 @@
-// Package statestore speaks the state service's protocol. It sends what the
-// core asks for and brings back what came; retries are the core's business.
+// Package statestore is a client of the state service. It makes the calls that the core
+// requests and returns their results. It never retries: that is up to the core.
 package statestore
 
 import (
@@ -15,16 +15,17 @@
 	"mulleinfall/internal/core"
 )
 
-// Client calls the state service at Addr.
+// Client calls the state service at Addr (host:port).
 type Client struct {
 	Addr string
 	HTTP *http.Client
 }
 
-// maxResponseBytes bounds an answer: a page holds 512 KiB at most, a watch can hold
-// many changes.
+// maxResponseBytes bounds a response. A page of keys has at most 512 KiB, but a response
+// to a watch may contain many changes.
 const maxResponseBytes = 16 << 20
 
+// wireItem is a key of a list, or a change of a watch, as the state service sends it.
 type wireItem struct {
 	Key         string          `json:"k"`
 	Value       json.RawMessage `json:"value"`
@@ -33,6 +34,7 @@
 	Remove      string          `json:"remove"`
 }
 
+// wireResponse contains the fields of the responses to all calls.
 type wireResponse struct {
 	Revision uint64     `json:"ledgerRev"`
 	Items    []wireItem `json:"items"`
@@ -43,11 +45,13 @@
 	Error    string     `json:"error"`
 }
 
+// wirePrecondition is a core.Precondition as JSON.
 type wirePrecondition struct {
 	Key         string `json:"k"`
 	ModRevision uint64 `json:"stamp"`
 }
 
+// wireChange is a core.Change as JSON.
 type wireChange struct {
 	Set    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -55,43 +59,44 @@
 	Remove string          `json:"remove,omitempty"`
 }
 
+// wireTxn is the body of a transaction.
 type wireTxn struct {
 	Preconditions []wirePrecondition `json:"guards"`
 	Changes       []wireChange       `json:"then"`
 }
 
-// Do carries a call out.
+// Do makes a call and returns its result. Status 0 means that the outcome is unknown.
 func (c *Client) Do(ctx context.Context, call core.StoreCall) core.StoreResult {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
-	done := core.StoreResult{CallID: call.CallID}
-	status, ans, err := c.exchange(ctx, call)
+	result := core.StoreResult{CallID: call.CallID}
+	status, resp, err := c.exchange(ctx, call)
 	if err != nil {
-		done.Err = err.Error()
-		return done // whatever arrived: the outcome is not known
+		result.Err = err.Error()
+		return result // Status is 0: the state service may have carried out the call or not
 	}
-	done.Status, done.Err, done.Revision = status, ans.Error, ans.Revision
-	done.More, done.Lease, done.FailedKeys = ans.More, ans.Lease, ans.Failed
-	for _, it := range append(ans.Items, ans.Changes...) {
-		item := core.Item{Key: it.Key, Value: it.Value, ModRevision: it.ModRevision}
-		if it.Set != "" {
-			item.Key = it.Set
+	result.Status, result.Err, result.Revision = status, resp.Error, resp.Revision
+	result.More, result.Lease, result.FailedKeys = resp.More, resp.Lease, resp.Failed
+	for _, wire := range append(resp.Items, resp.Changes...) {
+		item := core.Item{Key: wire.Key, Value: wire.Value, ModRevision: wire.ModRevision}
+		if wire.Set != "" {
+			item.Key = wire.Set
 		}
-		if it.Remove != "" {
-			item.Key, item.Removed = it.Remove, true
+		if wire.Remove != "" {
+			item.Key, item.Removed = wire.Remove, true
 		}
-		done.Items = append(done.Items, item)
+		result.Items = append(result.Items, item)
 	}
-	return done
+	return result
 }
 
-// wireRequest is a call as HTTP carries it; body nil: none.
+// wireRequest is the HTTP request of a call. A nil body means that there is none.
 type wireRequest struct {
 	method, path string
 	body         any
 }
 
-// encode says how a call goes out.
+// encode returns the HTTP request of a call.
 func encode(call core.StoreCall) (wireRequest, error) {
 	switch call.Op {
 	case core.StoreList:
@@ -116,56 +121,58 @@
 	return wireRequest{}, fmt.Errorf("unknown call %q", call.Op)
 }
 
+// encodeTxn returns the body of a transaction.
 func encodeTxn(call core.StoreCall) wireTxn {
-	t := wireTxn{Preconditions: []wirePrecondition{}, Changes: []wireChange{}}
-	for _, g := range call.Preconditions {
-		t.Preconditions = append(t.Preconditions, wirePrecondition(g))
+	txn := wireTxn{Preconditions: []wirePrecondition{}, Changes: []wireChange{}}
+	for _, precondition := range call.Preconditions {
+		txn.Preconditions = append(txn.Preconditions, wirePrecondition(precondition))
 	}
-	for _, ch := range call.Changes {
-		if ch.Remove {
-			t.Changes = append(t.Changes, wireChange{Remove: ch.Key})
+	for _, change := range call.Changes {
+		if change.Remove {
+			txn.Changes = append(txn.Changes, wireChange{Remove: change.Key})
 		} else {
-			t.Changes = append(t.Changes, wireChange{Set: ch.Key, Value: ch.Value, Lease: ch.Lease})
+			txn.Changes = append(txn.Changes, wireChange{Set: change.Key, Value: change.Value, Lease: change.Lease})
 		}
 	}
-	return t
+	return txn
 }
 
-// exchange sends a call and reads its answer.
+// exchange sends a call and returns the status and the content of the response. An error
+// means that the outcome of the call is unknown.
 func (c *Client) exchange(ctx context.Context, call core.StoreCall) (int, *wireResponse, error) {
-	out, err := encode(call)
+	request, err := encode(call)
 	if err != nil {
 		return 0, nil, err
 	}
 	var body io.Reader
-	if out.body != nil {
-		b, err := json.Marshal(out.body)
+	if request.body != nil {
+		b, err := json.Marshal(request.body)
 		if err != nil {
 			return 0, nil, fmt.Errorf("encode: %w", err)
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, out.method, "http://"+c.Addr+out.path, body)
+	req, err := http.NewRequestWithContext(ctx, request.method, "http://"+c.Addr+request.path, body)
 	if err != nil {
 		return 0, nil, fmt.Errorf("request: %w", err)
 	}
-	// Never let the transport send a change a second time by itself: the
-	// core must know of each copy.
+	// Without GetBody the HTTP transport can't send a change a second time by itself: the
+	// core must know about every copy.
 	req.GetBody = nil
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	var ans wireResponse
+	var decoded wireResponse
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("read: %w", err)
 	}
 	if len(bytes.TrimSpace(b)) > 0 {
-		if err := json.Unmarshal(b, &ans); err != nil && resp.StatusCode == http.StatusOK {
+		if err := json.Unmarshal(b, &decoded); err != nil && resp.StatusCode == http.StatusOK {
 			return 0, nil, fmt.Errorf("decode: %w", err)
 		}
 	}
-	return resp.StatusCode, &ans, nil
+	return resp.StatusCode, &decoded, nil
 }
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -13,13 +13,13 @@
 	"mulleinfall/internal/core"
 )
 
-// TestWireFormat checks each call and answer against the protocol's own examples.
+// TestWireFormat checks each call and its response against the examples of the protocol.
 func TestWireFormat(t *testing.T) {
 	cases := []struct {
 		call         core.StoreCall
 		request      string // method, path and body
 		status       int
-		answer       string
+		response     string
 		want         core.StoreResult
 		wantItemKeys string
 	}{
@@ -38,30 +38,30 @@
 		{core.StoreCall{Op: core.StoreRevoke, Lease: 7}, `DELETE /grants/7 `, 503, `{"error":"trouble"}`, core.StoreResult{Status: 503, Err: "trouble"}, ""},
 	}
 	for _, c := range cases {
-		var got string
+		var request string
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
-			got = r.Method + " " + r.URL.RequestURI() + " " + string(b)
+			request = r.Method + " " + r.URL.RequestURI() + " " + string(b)
 			w.WriteHeader(c.status)
-			_, _ = io.WriteString(w, c.answer)
+			_, _ = io.WriteString(w, c.response)
 		}))
-		cl := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
+		client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
 		c.call.Timeout = 10 * time.Second
-		d := cl.Do(context.Background(), c.call)
+		result := client.Do(context.Background(), c.call)
 		srv.Close()
-		if got != c.request {
-			t.Errorf("%s: sent %s\nwant %s", c.call.Op, got, c.request)
+		if request != c.request {
+			t.Errorf("%s: got request %s\nwant %s", c.call.Op, request, c.request)
 		}
 		var items []string
-		for _, it := range d.Items {
-			k := it.Key + "@" + json.Number(jsonInt(it.ModRevision)).String()
-			if it.Removed {
-				k = "-" + k
+		for _, item := range result.Items {
+			key := item.Key + "@" + json.Number(jsonInt(item.ModRevision)).String()
+			if item.Removed {
+				key = "-" + key
 			}
-			items = append(items, k)
+			items = append(items, key)
 		}
-		d.Items = nil
-		a, _ := json.Marshal(d)
+		result.Items = nil
+		a, _ := json.Marshal(result)
 		b, _ := json.Marshal(c.want)
 		if string(a) != string(b) || strings.Join(items, " ") != c.wantItemKeys {
 			t.Errorf("%s: got %s %v\nwant %s %s", c.call.Op, a, items, b, c.wantItemKeys)
@@ -69,18 +69,19 @@
 	}
 }
 
+// jsonInt returns a number as JSON.
 func jsonInt(v uint64) string { b, _ := json.Marshal(v); return string(b) }
 
-// TestBrokenResponseMeansUnknownOutcome: a broken answer must not pass for a refusal, since
-// the change may have been made.
+// TestBrokenResponseMeansUnknownOutcome checks that a broken response is not treated as a
+// refusal, because the change may have been made.
 func TestBrokenResponseMeansUnknownOutcome(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, `{"ledgerRev":`)
 	}))
 	defer srv.Close()
-	cl := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
-	if d := cl.Do(context.Background(), core.StoreCall{Op: core.StoreTxn, Timeout: 10 * time.Second}); d.Status != 0 {
-		t.Errorf("status %d", d.Status)
+	client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
+	if result := client.Do(context.Background(), core.StoreCall{Op: core.StoreTxn, Timeout: 10 * time.Second}); result.Status != 0 {
+		t.Errorf("got status %d, want 0", result.Status)
 	}
 }
