--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -41,10 +41,10 @@
 		want     int
 	}{
 		{200, report, 200},
-		{409, report, 409}, // the worker executed nothing, but its report is valid
-		{200, `{"ho`, 0},   // truncated: the outcome is unknown
-		{400, `{}`, 0},     // no report: the outcome is unknown
-		{502, `trouble`, 0},  // not a response of the worker
+		{409, report, 409},  // the worker executed nothing, but its report is valid
+		{200, `{"ho`, 0},    // truncated: the outcome is unknown
+		{400, `{}`, 0},      // no report: the outcome is unknown
+		{502, `trouble`, 0}, // not a response of the worker
 	} {
 		addr, sent := startFakeWorker(t, c.status, c.response)
 		result := newClient(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
