--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,14 +25,14 @@
 		State string `json:"state"`
 	} `json:"endpoints"`
 	Params struct {
-		Nodes int    `json:"count"`
+		Nodes int    `json:"count"` // number of controllers; 0 if it is not given
 		Teams []Team `json:"teams"`
 		// Objectives are the targets for how soon jobs start and finish.
 		Objectives []Objective `json:"objectives"`
 		Workers    struct {
-			ReportS float64 `json:"report_s"`
-			LeaseS  float64 `json:"lease_s"`
-			CancelS float64 `json:"cancel_s"`
+			ReportS float64 `json:"report_s"` // interval of a worker's reports
+			LeaseS  float64 `json:"lease_s"`  // duration of a worker's lease
+			CancelS float64 `json:"cancel_s"` // time within which the tasks of a cancelled job must be gone
 			// GangWaitS is how long a task of a gang waits for the others to be ready.
 			// GangPeerS is how soon a running task notices that another one is gone.
 			// Both are 0 if they are not given; gangs are refused then.
@@ -54,14 +54,14 @@
 		} `json:"state"`
 		Cloud struct {
 			RPS      float64 `json:"rps"`
-			ListLagS float64 `json:"list_lag_s"`
+			ListLagS float64 `json:"list_lag_s"` // how far the cloud's list of machines may be behind
 		} `json:"cloud"`
 		Limits struct {
-			CoreShare float64 `json:"core_share"`
+			CoreShare float64 `json:"core_share"` // processor cores that the process may use
 			MemoryMB  float64 `json:"ram_mb"`
-			Files     int     `json:"fd_limit"`
+			Files     int     `json:"fd_limit"` // open file descriptors of the process
 		} `json:"quota"`
-		SkewMS float64 `json:"skew_ms"`
+		SkewMS float64 `json:"skew_ms"` // bound on the error of the wall clock; 0 if it is not known
 	} `json:"facts"`
 }
 
@@ -74,19 +74,19 @@
 // Team is a team's guaranteed resources and its limits.
 type Team struct {
 	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	CPUs    float64 `json:"cpus"`     // guaranteed
+	CPUsMax float64 `json:"cpus_max"` // limit; 0 means none
+	GPUs    float64 `json:"gpus"`     // guaranteed
+	GPUsMax float64 `json:"gpus_max"` // limit; 0 means none
 }
 
 // Objective is a target for a class of jobs. Objectives of an unknown kind are
 // ignored.
 type Objective struct {
-	Kind    string  `json:"kind"`
+	Kind    string  `json:"kind"` // "wait" (for tasks to start), "finished" or "deadline"
 	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"`
-	Times   float64 `json:"times"`
+	WithinS float64 `json:"within_s"` // time of a "wait" or "finished" objective
+	Times   float64 `json:"times"`    // multiple of a job's due time, of a "deadline" objective
 }
 
 // Settings is the checked content of both files.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,23 +19,23 @@
 
 // DispatchSettings tunes how tasks are assigned to machines.
 type DispatchSettings struct {
-	SkipLimit *int     `hcl:"skip_limit,optional"`
-	BudgetMS  *float64 `hcl:"budget_ms,optional"`
+	SkipLimit *int     `hcl:"skip_limit,optional"` // how often a job may be passed over by later jobs
+	BudgetMS  *float64 `hcl:"budget_ms,optional"`  // processing time that one scheduling round may take
 }
 
 // StateSettings tunes the writes to the state service.
 type StateSettings struct {
-	WriteEveryS *float64 `hcl:"write_every_s,optional"`
+	WriteEveryS *float64 `hcl:"write_every_s,optional"` // interval of the writes of a job's task bitmap
 }
 
 // FleetSettings tunes when machines are rented from the cloud and returned to it.
 type FleetSettings struct {
-	IdleBoots     *float64 `hcl:"idle_boots,optional"`
-	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`
-	Patience      *float64 `hcl:"patience,optional"`
-	SpareServices *int     `hcl:"spare_services,optional"`
-	SpareGangs    *int     `hcl:"spare_gangs,optional"`
-	MaxMachines   *int     `hcl:"max_machines,optional"`
+	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // boot times for which an idle machine is kept
+	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // boot times after which a rented machine that has never reported is given up
+	Patience      *float64 `hcl:"patience,optional"`       // share of a job's spare time to pass before more expensive machines are rented
+	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is kept free
+	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is kept free
+	MaxMachines   *int     `hcl:"max_machines,optional"`   // limit on the machines rented
 }
 
 // setting is one value of the operators' file with its inclusive bounds.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -278,7 +278,7 @@
 	return reply, reply.Status != 0
 }
 
-// IsNearSocketLimit implements api.Backend. Workers should then close their
-// connections: a worker can open a new one for each report every few seconds, but a
-// user who gets no socket is refused.
+// IsNearSocketLimit implements api.Backend. Near the limit, the connections of workers are
+// closed after each report: a worker can open a new one for its next report a few seconds
+// later, but a user who gets no socket is refused.
 func (c *Controller) IsNearSocketLimit() bool { return c.publicListener.IsNearLimit() }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -25,7 +25,8 @@
 // to a watch may contain many changes.
 const maxResponseBytes = 16 << 20
 
-// wireItem is a key of a list, or a change of a watch, as the state service sends it.
+// wireItem is a key of a list, or a change of a watch, as the state service sends it. The
+// name of the key is in Key in a list, and in Set or Remove in a watch.
 type wireItem struct {
 	Key         string          `json:"k"`
 	Value       json.RawMessage `json:"value"`
@@ -140,19 +141,19 @@
 // exchange sends a call and returns the status and the content of the response. An error
 // means that the outcome of the call is unknown.
 func (c *Client) exchange(ctx context.Context, call core.StoreCall) (int, *wireResponse, error) {
-	request, err := encode(call)
+	encoded, err := encode(call)
 	if err != nil {
 		return 0, nil, err
 	}
 	var body io.Reader
-	if request.body != nil {
-		b, err := json.Marshal(request.body)
+	if encoded.body != nil {
+		b, err := json.Marshal(encoded.body)
 		if err != nil {
 			return 0, nil, fmt.Errorf("encode: %w", err)
 		}
 		body = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, request.method, "http://"+c.Addr+request.path, body)
+	req, err := http.NewRequestWithContext(ctx, encoded.method, "http://"+c.Addr+encoded.path, body)
 	if err != nil {
 		return 0, nil, fmt.Errorf("request: %w", err)
 	}
