--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,33 +1,39 @@
-// Package election decides who may act for the controllers, until when, and
-// with which term. It is pure: callers hand in the steady clock.
+// Package election decides which controller may act as leader, with which
+// term and until when. It reads no clock: callers pass in monotonic time.
 //
-// A leader of a term may act while (A) its leased key in the state service is
-// surely alive, or (B) a majority of all controllers has promised to support
-// no other. Both are counted from the sending of the request that won them
-// and shortened by clock drift. A candidate needs a majority of promises and
-// then the key, created under a guard on the term. A supporter of the former
-// leader gives no promise before its own has run out, so the two majorities
-// meet in a controller for which the former leader's promise is over; and the
-// key can be created only once the former leader's lease has ended.
-// Entitlement that has lapsed once is gone for good: the term must be won
-// anew.
+// The leader of a term may act while at least one of two conditions holds:
+// (A) its leased key in the state service certainly exists, or (B) a majority
+// of all controllers has promised to support no other node. Both are counted
+// from the sending of the request that obtained them, and both are shortened
+// by the clock drift. A candidate first needs promises from a majority and
+// then creates the key, on the precondition that the term key is unchanged.
+// A voter that has promised to support the former leader gives no other
+// promise until that one has expired. Any two majorities share a voter, so a
+// candidate's majority includes one whose promise to the former leader is
+// over. The key can be created only after the former leader's lease has
+// ended. A right to act that has expired does not come back: the node must
+// win a new term.
 //
-// A process forgets its promises when it ends. It therefore sleeps after a
-// start until the longest of them has run out, or until every other
-// controller has said that it holds none that it counts on. Asleep, it may
-// still support a candidate whose key will be guarded by the very version of
-// the term that this process has read since its start, if the holder of that
-// term counts on none of its earlier promises: no other leader can be acting,
-// and no other candidate that counts on them can win that version any more
-// once this one has.
+// A process forgets its promises when it ends. After a start the voter
+// therefore waits until the longest promise of its previous incarnation has
+// expired, or until every other controller has said that it relies on none of
+// them. During this startup wait the voter may still support a pre-approved
+// candidate. Two conditions make that safe. First, the candidate will create
+// its key on the precondition that the term key has the same modification
+// revision that this process has read since its start. Second, the holder of
+// that term relies on no promise of the previous incarnation. Then no other
+// leader can be acting, and once the candidate has won, no other candidate
+// that relies on such a promise can win with that revision.
 //
-// A leader that the state service refuses may be carried on by promises while
-// another controller confirms cancellations that it never hears of. Its view
-// may therefore be no older than Config.Staleness, counted for each of the
-// others from the last read of the state service, or from the end of a read
-// lease: while that is in force, its grantor confirms no cancellation that the
-// leader hasn't acknowledged (as the holders of quorum leases are told before
-// a write is). Beyond that the leader may not act, whoever supports it.
+// While the state service refuses the leader, promises may keep it acting, and
+// another controller may confirm cancellations that the leader does not learn
+// of. The leader's view may therefore be no older than Config.MaxStaleness.
+// For each of the other controllers, the age is counted from the last read of
+// the state service, or from the end of a read lease that this controller has
+// granted. While a read lease is in force, its grantor confirms no cancellation
+// that the leader has not acknowledged (as with quorum leases, whose holders
+// are informed before a write is confirmed). Once the view is older, the leader
+// may not act, whoever supports it.
 package election
 
 import (
@@ -35,44 +41,46 @@
 	"time"
 )
 
-// Config holds the times of the election, all derived from the settings.
+// Config holds the durations of the election. All are derived from the settings.
 type Config struct {
 	Self            string
-	Nodes           int           // all controllers, this one included
-	KeyTTL          time.Duration // life of the leader's lease in the state service
-	PromiseDuration time.Duration // how long a supporter binds itself
-	ClockDrift      float64       // relative drift between two steady clocks
+	Nodes           int           // number of controllers, including this one
+	KeyTTL          time.Duration // duration of the leader key's lease in the state service
+	PromiseDuration time.Duration // how long a promise binds its voter
+	ClockDrift      float64       // relative drift between two monotonic clocks
 	// MaxStaleness is how old a leader's view of the cancellations may be (0: any
-	// age), ReadLease how long a grantor binds itself.
+	// age). ReadLeaseDuration is how long a read lease binds its grantor.
 	MaxStaleness, ReadLeaseDuration time.Duration
 }
 
-// Voter is the supporting side: what this controller has promised.
+// Voter holds the promises and read leases that this controller has given.
 type Voter struct {
 	cfg              Config
-	startupWaitUntil time.Duration // promises of an earlier life may bind until here
+	startupWaitUntil time.Duration // promises of the previous incarnation may bind until then
 	promisedTo       string
 	term             uint64
 	promisedUntil    time.Duration
 	highestTerm      uint64 // highest term ever supported
-	// The candidate that may be supported while asleep.
+	// The candidate that may be supported during the startup wait.
 	preapprovedNode string
 	preapprovedTerm uint64
-	// Read leases given: to the leader of a term, and for how long; and until
-	// when one that an earlier life gave may bind, to the leader of which term
-	// at the latest.
+	// readTerm is the highest term whose leader this incarnation has granted a
+	// read lease, readUntil the end of the last one. A read lease that the
+	// previous incarnation granted may bind until previousReadUntil, and its
+	// holder's term is at most previousReadTerm.
 	readTerm, previousReadTerm   uint64
 	readUntil, previousReadUntil time.Duration
 }
 
-// NewVoter starts a voter at now. Its first promise waits for the longest one
-// that the process before it may have given and forgotten.
+// NewVoter creates a voter that starts at now. Its startup wait lasts as long as
+// a promise that the previous incarnation may have given just before it ended.
 func NewVoter(cfg Config, now time.Duration) *Voter {
 	return &Voter{cfg: cfg, startupWaitUntil: now + cfg.lengthenForDrift(cfg.PromiseDuration), previousReadTerm: math.MaxUint64, previousReadUntil: now + cfg.lengthenForDrift(cfg.ReadLeaseDuration)}
 }
 
-// EndStartupWait ends the sleep after a start early: every other controller has said,
-// since this process began, that it counts on no promise of an earlier life.
+// EndStartupWait ends the startup wait early. The caller has heard from every
+// other controller, since this process started, that it relies on no promise of
+// the previous incarnation.
 func (v *Voter) EndStartupWait() { v.startupWaitUntil, v.previousReadUntil = 0, 0 }
 
 // GrantReadLease gives the leader of term a read lease.
@@ -81,30 +89,35 @@
 	v.readUntil = max(v.readUntil, now+v.cfg.lengthenForDrift(v.cfg.ReadLeaseDuration))
 }
 
-// LimitPreviousReadLease says that term was the last one won when this process first read the
-// state service: its earlier life can have given no read lease to a later one.
+// LimitPreviousReadLease records the last term that had been won when this
+// process first read the state service. The previous incarnation cannot have
+// granted a read lease to the leader of a later term.
 func (v *Voter) LimitPreviousReadLease(term uint64) {
 	v.previousReadTerm = min(v.previousReadTerm, term)
 }
 
-// HasReadLease says whether a read lease binds this voter, which knows that term
-// has been won: the leaders of terms before don't act any more. One that a
-// process forgot when it ended counts as given to whoever led then.
+// HasReadLease reports whether a read lease binds this voter, given the last term
+// that it knows to be won. Leases granted to leaders of lower terms don't count,
+// since those no longer act. A lease that the previous incarnation may have
+// granted and forgotten counts as granted to the leader of that time.
 func (v *Voter) HasReadLease(now time.Duration, term uint64) bool {
 	return now < v.previousReadUntil && v.previousReadTerm >= term || now < v.readUntil && v.readTerm >= term
 }
 
-// Preapprove lets the voter support node's candidacy for term while it sleeps. The
-// caller has made sure of what the package comment demands.
+// Preapprove lets the voter support node's campaign for term during the startup
+// wait. The caller has checked the two conditions in the package comment.
 func (v *Voter) Preapprove(node string, term uint64) {
 	v.preapprovedNode, v.preapprovedTerm = node, term
 }
 
+// lengthenForDrift returns how long a voter or grantor must keep an obligation of
+// duration d, so that it outlasts d on the holder's clock.
 func (c Config) lengthenForDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*c.ClockDrift) + time.Millisecond
 }
 
-// Grant promises node support for term, if no other promise stands against it.
+// Grant promises to support node in term and returns true, unless the startup
+// wait, a promise to another node or a higher term forbids that.
 func (v *Voter) Grant(now time.Duration, node string, term uint64) bool {
 	if now < v.startupWaitUntil && (node != v.preapprovedNode || term != v.preapprovedTerm) || term < v.highestTerm {
 		return false
@@ -117,132 +130,147 @@
 	return true
 }
 
-// Release ends the promise to node early: the node has said that it no longer
-// acts in any term up to term.
+// Release ends the promise to node early. The node has said that it no longer
+// acts in any term up to and including term.
 func (v *Voter) Release(node string, term uint64) {
 	if v.promisedTo == node && v.term <= term {
 		v.promisedUntil = 0
 	}
 }
 
-// PromisedTo names the node that this voter supports now, if any.
+// PromisedTo returns the node that this voter last promised to support, and
+// whether that promise is in force at now.
 func (v *Voter) PromisedTo(now time.Duration) (string, bool) {
 	return v.promisedTo, now < v.promisedUntil
 }
 
-// CanPromise says whether this voter may give promises at all.
+// CanPromise reports whether the startup wait is over at now.
 func (v *Voter) CanPromise(now time.Duration) bool { return now >= v.startupWaitUntil }
 
-// HighestTerm is the highest term that this voter has supported.
+// HighestTerm returns the highest term that this voter has supported.
 func (v *Voter) HighestTerm() uint64 { return v.highestTerm }
 
-// Leadership is the acting side: a candidacy that may become leadership.
+// Leadership is a campaign for one term, and the leadership that follows once
+// the campaign has won.
 type Leadership struct {
 	cfg  Config
 	Term uint64
-	// TermModRevision is the version of the term before, as known when the candidacy
-	// began: the key is won under a guard on it, and promises name it.
+	// TermModRevision is the modification revision of the term key when the
+	// campaign began. Winning the leader key has it as a precondition, and
+	// requests for promises carry it.
 	TermModRevision   uint64
 	campaignStartedAt time.Duration
-	keyRequestedAt    time.Duration // sending of the request that last renewed the key
+	keyRequestedAt    time.Duration // when the last successful request for the key or its renewal was sent
 	hasKey            bool
-	promises          map[string]time.Duration // by supporter: sending of the request
-	// majorityUntil is when the last majority of them may end: asked for with every
-	// event, and worked out only when a promise comes.
+	promises          map[string]time.Duration // by voter: when the promise was requested
+	// majorityUntil is when the majority of promises may end. It is read with
+	// every event, so it is computed only when a promise arrives.
 	majorityUntil   time.Duration
-	lastReadAt      time.Duration            // sending of the last complete read of the state service
+	lastReadAt      time.Duration            // when the last complete read of the state service was sent
 	readLeasesUntil map[string]time.Duration // by grantor: when its read lease may end
-	viewValidUntil  time.Duration            // the view is recent enough until here
+	viewValidUntil  time.Duration            // the view is recent enough until then
 	elected         bool
 	ended           bool
 }
 
-// NewLeadership starts a candidacy for term at now; stamp is the version of the
-// term before.
-func NewLeadership(cfg Config, now time.Duration, term, stamp uint64) *Leadership {
-	return &Leadership{cfg: cfg, Term: term, TermModRevision: stamp, campaignStartedAt: now, promises: map[string]time.Duration{}, readLeasesUntil: map[string]time.Duration{}}
+// NewLeadership starts a campaign for term at now. termModRevision is the
+// modification revision of the term key, which still holds the previous term.
+func NewLeadership(cfg Config, now time.Duration, term, termModRevision uint64) *Leadership {
+	return &Leadership{cfg: cfg, Term: term, TermModRevision: termModRevision, campaignStartedAt: now, promises: map[string]time.Duration{}, readLeasesUntil: map[string]time.Duration{}}
 }
 
-// RecordRead notes a complete read of the state service that was sent at sent.
-func (t *Leadership) RecordRead(sent time.Duration) {
-	t.lastReadAt = max(t.lastReadAt, sent)
+// RecordRead records a complete read of the state service that was sent at sentAt.
+func (t *Leadership) RecordRead(sentAt time.Duration) {
+	t.lastReadAt = max(t.lastReadAt, sentAt)
 	t.updateViewValidity()
 }
 
-// RecordReadLease notes a read lease that node has granted, asked for at sent. Born
-// is the latest time at which the grantor's process can have begun, Loaded says
-// that the grantor has told of all that was confirmed before that too: what its
-// earlier life confirmed after its own last read lease, nobody else can tell.
-func (t *Leadership) RecordReadLease(node string, sent, born time.Duration, loaded bool) {
-	if !loaded && born > max(t.lastReadAt, t.readLeasesUntil[node]) {
+// RecordReadLease records a read lease that node has granted and that was
+// requested at requestedAt. grantorStartedAt is the latest time at which the
+// grantor's process can have started. grantorLoaded means that the grantor has
+// read the whole state since its start, and so has also reported what its
+// previous incarnation confirmed. If it has not, the lease is ignored when the
+// grantor may have started after both the last read and the end of its previous
+// read lease: no other controller can report what the previous incarnation
+// confirmed in between.
+func (t *Leadership) RecordReadLease(node string, requestedAt, grantorStartedAt time.Duration, grantorLoaded bool) {
+	if !grantorLoaded && grantorStartedAt > max(t.lastReadAt, t.readLeasesUntil[node]) {
 		return
 	}
-	t.readLeasesUntil[node] = max(t.readLeasesUntil[node], sent+t.shortenForDrift(t.cfg.ReadLeaseDuration))
+	t.readLeasesUntil[node] = max(t.readLeasesUntil[node], requestedAt+t.shortenForDrift(t.cfg.ReadLeaseDuration))
 	t.updateViewValidity()
 }
 
+// updateViewValidity computes until when the leader's view is recent enough. Read
+// leases count only if every other controller has granted one.
 func (t *Leadership) updateViewValidity() {
-	oldest := t.lastReadAt
+	viewedAt := t.lastReadAt
 	if len(t.readLeasesUntil) == t.cfg.Nodes-1 && t.cfg.Nodes > 1 {
 		first := true
 		for _, until := range t.readLeasesUntil {
-			if first || until < oldest {
-				oldest, first = until, false
+			if first || until < viewedAt {
+				viewedAt, first = until, false
 			}
 		}
-		oldest = max(oldest, t.lastReadAt)
+		viewedAt = max(viewedAt, t.lastReadAt)
 	}
-	t.viewValidUntil = oldest + t.shortenForDrift(t.cfg.MaxStaleness)
+	t.viewValidUntil = viewedAt + t.shortenForDrift(t.cfg.MaxStaleness)
 }
 
-// ViewValidUntil is until when the view is recent enough.
+// ViewValidUntil returns the time until which the leader's view is recent enough.
 func (t *Leadership) ViewValidUntil() time.Duration { return t.viewValidUntil }
 
-// RecordPromise notes a supporter's promise; sent is when it was asked for.
-func (t *Leadership) RecordPromise(now time.Duration, node string, sent time.Duration) {
-	// A promise that was asked for by an earlier candidacy doesn't count: its
-	// giver may have been told since that nobody relies on it.
-	if t.expireIfDue(now) || sent < t.campaignStartedAt {
+// RecordPromise records a promise by node that was requested at
+// requestedAt.
+func (t *Leadership) RecordPromise(now time.Duration, node string, requestedAt time.Duration) {
+	// A promise that an earlier campaign requested doesn't count: its voter may
+	// have been released from it since.
+	if t.expireIfDue(now) || requestedAt < t.campaignStartedAt {
 		return
 	}
-	if old, ok := t.promises[node]; !ok || sent > old {
-		t.promises[node] = sent
+	if previous, ok := t.promises[node]; !ok || requestedAt > previous {
+		t.promises[node] = requestedAt
 		t.majorityUntil = t.computeMajorityUntil()
 	}
 }
 
-// ConfirmElection notes that the key was created under this term, by a request sent
-// at sent. It fails when the promises have run out in the meantime: without
-// them nothing shows that the former leader has stopped.
-func (t *Leadership) ConfirmElection(now, sent time.Duration) bool {
+// ConfirmElection records that the leader key was created for this term,
+// under a lease that was requested at leaseRequestedAt. It returns false, and ends
+// the campaign, if the majority of promises has expired meanwhile: without it
+// nothing shows that the former leader has stopped.
+func (t *Leadership) ConfirmElection(now, leaseRequestedAt time.Duration) bool {
 	if t.ended || now >= t.majorityUntil {
 		t.ended = true
 		return false
 	}
-	t.elected, t.hasKey, t.keyRequestedAt = true, true, sent
-	// It doesn't act before it has read all that was there when it was elected.
+	t.elected, t.hasKey, t.keyRequestedAt = true, true, leaseRequestedAt
+	// The leader acts only after it has read the state as of its election, so
+	// its view counts as read now.
 	t.RecordRead(now)
 	return true
 }
 
-// RecordRenewal notes that the leased key was renewed by a request sent at sent.
-func (t *Leadership) RecordRenewal(now, sent time.Duration) {
+// RecordRenewal records that the leader key was renewed by a request
+// that was sent at requestedAt.
+func (t *Leadership) RecordRenewal(now, requestedAt time.Duration) {
 	if t.expireIfDue(now) {
 		return
 	}
-	if !t.hasKey || sent > t.keyRequestedAt {
-		t.hasKey, t.keyRequestedAt = true, sent
+	if !t.hasKey || requestedAt > t.keyRequestedAt {
+		t.hasKey, t.keyRequestedAt = true, requestedAt
 	}
 }
 
-// RecordKeyLoss notes that the state service no longer holds our key.
+// RecordKeyLoss records that the state service no longer holds the leader key.
 func (t *Leadership) RecordKeyLoss() { t.hasKey = false }
 
+// shortenForDrift returns how long a holder may rely on an obligation of duration
+// d, so that it ends before d on the clock of the node that gave it.
 func (t *Leadership) shortenForDrift(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*t.cfg.ClockDrift) - time.Millisecond
 }
 
-// KeyValidUntil is when the leased key may end.
+// KeyValidUntil returns the earliest time at which the leader key may expire.
 func (t *Leadership) KeyValidUntil() time.Duration {
 	if !t.hasKey {
 		return 0
@@ -250,30 +278,32 @@
 	return t.keyRequestedAt + t.shortenForDrift(t.cfg.KeyTTL)
 }
 
-// computeMajorityUntil is when the last majority of promises may end.
+// computeMajorityUntil returns until when promises of a majority are in force, or
+// 0 without a majority.
 func (t *Leadership) computeMajorityUntil() time.Duration {
-	need := t.cfg.Nodes/2 + 1
-	if len(t.promises) < need {
+	quorum := t.cfg.Nodes/2 + 1
+	if len(t.promises) < quorum {
 		return 0
 	}
-	// The need-th youngest promise bounds the majority.
-	sent := make([]time.Duration, 0, len(t.promises))
-	for _, s := range t.promises {
-		at := len(sent)
-		sent = append(sent, s)
-		for at > 0 && sent[at-1] < s {
-			sent[at] = sent[at-1]
-			at--
+	// The oldest of the quorum's most recent promises bounds the majority.
+	requestTimes := make([]time.Duration, 0, len(t.promises))
+	for _, requestedAt := range t.promises {
+		position := len(requestTimes)
+		requestTimes = append(requestTimes, requestedAt)
+		for position > 0 && requestTimes[position-1] < requestedAt {
+			requestTimes[position] = requestTimes[position-1]
+			position--
 		}
-		sent[at] = s
+		requestTimes[position] = requestedAt
 	}
-	return sent[need-1] + t.shortenForDrift(t.cfg.PromiseDuration)
+	return requestTimes[quorum-1] + t.shortenForDrift(t.cfg.PromiseDuration)
 }
 
-// HasMajority says whether a majority of promises stands at now.
+// HasMajority reports whether promises of a majority are in force at now.
 func (t *Leadership) HasMajority(now time.Duration) bool { return now < t.majorityUntil }
 
-// ValidUntil is the time up to which this leadership may act as far as is known.
+// ValidUntil returns the time until which this leadership may act, as far as is
+// known now.
 func (t *Leadership) ValidUntil() time.Duration {
 	if !t.elected || t.ended {
 		return 0
@@ -285,7 +315,8 @@
 	return until
 }
 
-// expireIfDue ends an elected leadership whose entitlement has run out.
+// expireIfDue ends an elected leadership whose right to act has expired at now. It
+// reports whether the campaign or leadership has ended.
 func (t *Leadership) expireIfDue(now time.Duration) bool {
 	if t.elected && now >= t.ValidUntil() {
 		t.ended = true
@@ -293,11 +324,11 @@
 	return t.ended
 }
 
-// CanAct says whether this leadership may act at now. Once it may not, it never
-// may again.
+// CanAct reports whether this leadership may act at now. Once an elected leadership
+// may not, it may never act again.
 func (t *Leadership) CanAct(now time.Duration) bool {
 	return t.elected && !t.expireIfDue(now)
 }
 
-// End gives the leadership up.
+// End ends the campaign or leadership for good.
 func (t *Leadership) End() { t.ended = true }
