--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -15,16 +15,16 @@
 	"mulleinfall/internal/sched"
 )
 
-// State is the whole of a controller's knowledge.
+// State holds everything that a controller knows. It changes only in Step.
 type State struct {
 	cfg            Config
 	electionConfig election.Config
 	now            time.Duration
-	// startedAt is when this process began.
+	// startedAt is when this process started.
 	startedAt time.Duration
-	// wallMs is the time of day at the last tick.
+	// wallMs is the wall-clock time of the last tick, in milliseconds.
 	wallMs     int64
-	wallReadAt time.Duration // when that was
+	wallReadAt time.Duration // monotonic time of the last tick
 	effects    []Effect
 	random     *rand.Rand
 
@@ -41,7 +41,7 @@
 	leadState
 	versionState
 
-	// The leader's own bookkeeping, which a new term starts afresh.
+	// The state below belongs to the leader and is reset when a term begins.
 	takeoverState
 	dispatchState
 	reportState
@@ -59,21 +59,22 @@
 	jobs                map[string]*job
 	active              map[string]*job
 	machines            map[string]*machine
-	machinesByName      []*machine       // all machines by name: whatever goes over them goes in this order
-	pageHosts           map[int][]string // machines on each page of the roster, as last read
-	machinesWithOrphans []*machine       // those with tasks that they shouldn't have
+	machinesByName      []*machine       // all machines sorted by name; loops use this order so that traces replay
+	pageHosts           map[int][]string // machines on each registry page, as last read
+	machinesWithOrphans []*machine       // machines that run orphaned tasks
 }
 
-// promiseDuration is how long key and promise live: a part of the workers' lease. A
-// successor can follow when both are over, and a controller that starts anew
-// sleeps as long before it promises anything. What is left of the lease must
-// cover a restart of the controllers, and the workers' search for the successor.
+// promiseDuration is how long the leader key and a promise last: a part of the
+// workers' lease. A successor can be elected when both have expired, and a
+// restarted controller waits as long before it gives a promise. The rest of the
+// lease must cover a restart of the controllers and the time that workers need to
+// find the new leader.
 func promiseDuration(cfg Config) time.Duration { return cfg.Lease * 3 / 16 }
 
-// New makes the state of a controller that starts at now.
+// New creates the state of a controller that starts at now.
 func New(cfg Config, now time.Duration) *State {
-	hold := promiseDuration(cfg)
-	ecf := election.Config{Self: cfg.Self, Nodes: len(cfg.Peers) + 1, KeyTTL: hold, PromiseDuration: hold, ClockDrift: ClockDrift,
+	duration := promiseDuration(cfg)
+	ecf := election.Config{Self: cfg.Self, Nodes: len(cfg.Peers) + 1, KeyTTL: duration, PromiseDuration: duration, ClockDrift: ClockDrift,
 		MaxStaleness: maxViewAge(cfg), ReadLeaseDuration: cfg.CancelWithin}
 	nodes := float64(ecf.Nodes)
 	s := &State{
@@ -84,8 +85,8 @@
 		jobs:         map[string]*job{},
 		active:       map[string]*job{},
 		machines:     map[string]*machine{},
-		// Each node keeps to its share by itself, so that no burst at one
-		// gets another's requests refused.
+		// Each controller limits itself to its share of the rate, so that a
+		// burst on one does not get another's requests refused.
 		storeRate: rate.NewLimiter(rate.Limit(cfg.StoreRPS*0.95/nodes), max(1, int(cfg.StoreRPS*0.95/nodes))),
 		writeRate: rate.NewLimiter(1, 1),
 		cloudRate: rate.NewLimiter(rate.Limit(cfg.CloudRPS*0.8), max(1, int(cfg.CloudRPS*0.8))),
@@ -94,27 +95,27 @@
 	s.replica.init()
 	s.voter = election.NewVoter(ecf, now)
 	s.peers = map[string]*peerState{}
-	for _, p := range cfg.Peers {
-		s.peers[p] = &peerState{}
+	for _, peer := range cfg.Peers {
+		s.peers[peer] = &peerState{}
 	}
 	s.dispatcher = sched.NewDispatcher(sched.Config{SkipLimit: cfg.SkipLimit})
 	s.userRequests.init(cfg.Incarnation)
 	s.cancellationState.unacknowledged = map[string]uint64{}
 	s.watched = map[string]*cancellationRecord{}
 	s.pageHosts = map[int][]string{}
-	// Controllers that start together must not all run at the same instant.
+	// Controllers that start together must not all campaign at the same instant.
 	s.campaignAt = now + time.Duration(s.random.Float64()*float64(ecf.PromiseDuration)/8)
 	return s
 }
 
-// Step takes one event at now and returns what is to be done. The slice is
-// the caller's.
-func (s *State) Step(now time.Duration, ev Event) []Effect {
+// Step handles one event at now and returns the effects to carry out. The caller
+// owns the returned slice.
+func (s *State) Step(now time.Duration, event Event) []Effect {
 	if now > s.now {
 		s.now = now
 	}
 	s.effects = nil
-	switch e := ev.(type) {
+	switch e := event.(type) {
 	case Tick:
 		s.wallMs, s.wallReadAt = e.WallMs, s.now
 		s.tick()
@@ -146,8 +147,8 @@
 	return s.effects
 }
 
-// tick does the time-driven work, in the order in which one thing can make
-// the next possible.
+// tick does the time-driven work. Its order matters: earlier steps can make later
+// ones possible.
 func (s *State) tick() {
 	s.maintainWatch()
 	s.refreshTypes()
@@ -170,7 +171,8 @@
 	s.cloudTick()
 	s.sendRunningCounts()
 	if s.now >= s.nextTimedRoundAt && s.hasWaitingTasks() {
-		// Time alone can make a task schedulable or end its wait in a local queue.
+		// The passage of time alone can make a task schedulable or end its wait
+		// in a local queue.
 		s.nextTimedRoundAt = s.now + s.cfg.ReportInterval/6
 		s.dispatchNeeded = true
 	}
@@ -182,30 +184,31 @@
 	s.emit(Log{level, text, args})
 }
 
+// registerCall returns the id of a new call to the outside; done gets its result.
 func (s *State) registerCall(done func(any)) uint64 {
 	s.lastCallID++
 	s.pendingCalls[s.lastCallID] = done
 	return s.lastCallID
 }
 
-func (s *State) completeCall(call uint64, result any) {
-	f, ok := s.pendingCalls[call]
+func (s *State) completeCall(callID uint64, result any) {
+	done, ok := s.pendingCalls[callID]
 	if !ok {
 		return
 	}
-	delete(s.pendingCalls, call)
-	f(result)
+	delete(s.pendingCalls, callID)
+	done(result)
 }
 
-// callStore sends a call to the state service; done gets its end.
+// callStore sends a call to the state service; done gets its result.
 func (s *State) callStore(c StoreCall, done func(StoreResult)) {
-	sent := s.now
-	c.CallID = s.registerCall(func(r any) {
-		d := r.(StoreResult)
-		if d.Status != 0 && d.Status != 503 && d.Status != 429 {
-			s.recordStoreContact(sent)
+	sentAt := s.now
+	c.CallID = s.registerCall(func(untyped any) {
+		result := untyped.(StoreResult)
+		if result.Status != 0 && result.Status != 503 && result.Status != 429 {
+			s.recordStoreContact(sentAt)
 		}
-		done(d)
+		done(result)
 	})
 	if c.Timeout == 0 {
 		c.Timeout = time.Second
@@ -213,17 +216,19 @@
 	s.emit(c)
 }
 
+// limiterTime converts the monotonic time for the rate limiters.
 func (s *State) limiterTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
+// mustMarshal encodes a value of one of this package's own types as JSON.
 func mustMarshal(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("core: marshal of own type: " + err.Error())
+		panic("core: encoding a value as JSON: " + err.Error())
 	}
 	return b
 }
 
-// sortedKeys gives a map's keys in order: what is decided must not hang on the
+// sortedKeys returns a map's keys in order. No decision may depend on the iteration
 // order of a map, or a trace would not replay.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,8 +1,8 @@
-// Package core is mulleinfall without input or output: one State, changed by
-// Step(now, event), which answers with the effects to carry out. It owns the
-// job, task and machine tables and ties election, sched and fleet together.
-// Time is the steady clock as the caller hands it in; there is no I/O, clock,
-// goroutine or global random source here, so a trace of events replays.
+// Package core is the controller's logic without input or output. It has one
+// State, changed by Step(now, event), which returns the effects to carry out. It
+// owns the job, task and machine tables and connects the packages election, sched
+// and fleet. The caller passes in monotonic time. The package uses no I/O, clock,
+// goroutine or global random source, so a trace of events replays.
 package core
 
 import (
@@ -13,72 +13,72 @@
 	"mulleinfall/internal/sched"
 )
 
-// Goal is what is expected of the jobs of a class.
+// Goal holds the service objectives for the jobs of a class.
 type Goal struct {
-	StartWithin  time.Duration // tasks should start within; 0: nothing is said
-	FinishWithin time.Duration // jobs should be done within; 0: nothing is said
-	DueFactor    float64       // jobs should be done within their due time this many times; 0: nothing is said
+	StartWithin  time.Duration // tasks should start within this time; 0: no objective
+	FinishWithin time.Duration // jobs should be done within this time; 0: no objective
+	DueFactor    float64       // jobs should be done within this many times their due time; 0: no objective
 }
 
-// Team is what a team is guaranteed and may use at most (0: no limit).
+// Team holds the resources that a team is guaranteed and may use at most (0: no limit).
 type Team struct {
 	Guaranteed, Limit sched.Resources
 }
 
-// Config is everything that core takes from the settings.
+// Config holds the settings that core uses.
 type Config struct {
 	Self        string
 	Peers       []string
-	Incarnation uint64 // differs between lives of this node; seeds its random source
+	Incarnation uint64 // differs between processes of this controller; seeds its random source
 	Teams       map[string]Team
-	Goals       map[string]Goal // by class: what its users expect
+	Goals       map[string]Goal // by class
 
-	ReportInterval time.Duration
-	Lease          time.Duration
-	CancelWithin   time.Duration
-	// GangWaitTimeout is how long a gang's task waits for the others, GangPeer how soon
-	// it notices that one is gone. 0: no gangs.
+	ReportInterval time.Duration // time between two reports of a worker
+	Lease          time.Duration // a worker stops its tasks when its reports go unanswered for this long
+	CancelWithin   time.Duration // tasks of a cancelled job must be gone this long after the confirmation
+	// GangWaitTimeout is how long a gang's task waits for the others.
+	// GangPeerTimeout is how soon it notices that one of them is gone. 0: no gangs.
 	GangWaitTimeout, GangPeerTimeout time.Duration
 	// Version is the newest version of messages and stored values that this program
-	// knows: NewestVersion, but in tests that play a former version.
+	// knows. It is NewestVersion, except in tests that simulate a previous version.
 	Version      int
-	MaxClockSkew time.Duration // bound on how far the time of day is off; 0: not known
+	MaxClockSkew time.Duration // bound on the error of a wall clock; 0: unknown
 
 	StoreRPS      float64
 	StoreWriteRPS float64
 	MaxValueBytes int
 	MaxTxnOps     int
 	CloudRPS      float64
-	ListLag       time.Duration
+	ListLag       time.Duration // how far the cloud's list of machines may lag behind
 
-	MaxDirectCommands int // direct commands under way at a time
-	MaxRequests       int // users' and workers' requests under way at a time
+	MaxDirectCommands int // direct commands in flight at a time
+	MaxRequests       int // users' and workers' requests in progress at a time
 
 	Tuning
 
-	// DebugLog says that lines of the debug level are wanted.
+	// DebugLog enables log lines of the debug level.
 	DebugLog bool
 
-	// RoundBudget is the time that one round of decisions may take (0: any), and
-	// Stopwatch starts a measurement whose result tells how much has passed.
-	// Nil: no time passes.
+	// RoundBudget is the time that one dispatch round may take (0: unlimited).
+	// Stopwatch starts a measurement and returns a function that returns the time
+	// since then. If it is nil, a round takes no time.
 	RoundBudget time.Duration
 	Stopwatch   func() func() time.Duration
 }
 
-// Tuning holds what operators may set themselves.
+// Tuning holds the settings that operators may change.
 type Tuning struct {
-	SkipLimit           int           // design's limit on being passed
-	BitmapWriteInterval time.Duration // bitmap writes of one job
+	SkipLimit           int           // how often later tasks may go before a waiting job's
+	BitmapWriteInterval time.Duration // minimum time between two writes of a job's finished tasks
 	IdleBoots           float64       // keep an idle machine for this many boot times
-	GiveUpBoots         float64       // give up a machine after this many boot times
-	Patience            float64       // part of a job's spare time that may pass before dearer machines are rented
-	SpareServices       int           // service tasks for which room is kept free
-	SpareGangs          int           // gangs for which room is kept free
-	MaxMachines         int           // never rent beyond this; 0: whatever the cloud has
+	GiveUpBoots         float64       // give up a rented machine that has not reported after this many boot times
+	Patience            float64       // share of a job's spare time that may pass before more expensive machines are rented
+	SpareServices       int           // service tasks for which capacity is reserved
+	SpareGangs          int           // gangs for which capacity is reserved
+	MaxMachines         int           // maximum number of machines; 0: as many as the cloud offers
 }
 
-// DefaultTuning is in force where the operator says nothing.
+// DefaultTuning returns the values that apply where the operator sets none.
 func DefaultTuning() Tuning {
 	return Tuning{
 		SkipLimit:           25,
@@ -91,35 +91,38 @@
 	}
 }
 
-// ClockDrift bounds how far the steady clocks of two machines drift apart,
+// ClockDrift bounds how far the monotonic clocks of two machines drift apart,
 // relative to the time measured (PROTOCOL).
 const ClockDrift = 0.0005
 
-// Event is one thing that happened: one of the types below.
+// Event is an input of State.Step: Tick, Submit, Poll, Cancel, HealthCheck,
+// WorkerReport, PeerIn, StoreResult, CloudResult or AgentResult.
 type Event any
 
-// Effect is one thing to do: one of the types below.
+// Effect is an output of State.Step: Reply, Log, PeerOut, StoreCall, CloudCall or
+// AgentCall.
 type Effect any
 
-// Tick lets time-driven work happen. Wall is the time of day in milliseconds;
-// it serves to tell the age of a job, never to decide who may act.
+// Tick starts the time-driven work. WallMs is the wall-clock time in milliseconds.
+// It is used for the ages of jobs and of records in the state service, never to
+// decide which controller may act as leader.
 type Tick struct{ WallMs int64 }
 
-// Submit is a user's submission, checked for form by the edge. Wall is the
-// time of day in milliseconds.
+// Submit is a user's submission, whose form the package api has checked. WallMs is
+// the wall-clock time in milliseconds.
 type Submit struct {
 	RequestID uint64
 	Job       model.Job
 	WallMs    int64
 }
 
-// Poll asks for a job's state, Withdraw cancels it.
+// Poll is a user's request for a job's status.
 type Poll struct {
 	RequestID uint64
 	ID        string
 }
 
-// Cancel is a user's cancellation.
+// Cancel is a user's cancellation of a job.
 type Cancel struct {
 	RequestID uint64
 	ID        string
@@ -128,15 +131,16 @@
 // HealthCheck is a health check.
 type HealthCheck struct{ RequestID uint64 }
 
-// WorkerReport is a worker's report on its own initiative.
+// WorkerReport is a report that a worker sends by itself, as opposed to one that
+// answers a direct command.
 type WorkerReport struct {
 	RequestID uint64
 	Report    model.Report
 }
 
-// Reply answers a user, a worker or a health check. When Until is set, the
-// edge sends it only before that time: a starved processor must not let an
-// answer out after the entitlement behind it has ended.
+// Reply answers a user, a worker or a health check. If SendBefore is set, the reply
+// is sent only before that time: a process that gets too little CPU time must not
+// send it after the leadership behind it has expired.
 type Reply struct {
 	RequestID  uint64
 	Status     int
@@ -145,7 +149,7 @@
 	SendBefore time.Duration
 }
 
-// JobStatus is the body of answers to users.
+// JobStatus is the body of successful replies to users.
 type JobStatus struct {
 	ID      string `json:"id"`
 	Phase   string `json:"phase"`
@@ -153,23 +157,23 @@
 	Running int    `json:"running"`
 }
 
-// ReportReply is the body of a 200 to a worker.
+// ReportReply is the body of a 200 reply to a worker.
 type ReportReply struct {
 	Epoch  uint64        `json:"epoch"`
 	Orders []model.Order `json:"orders"`
 }
 
-// Redirect is the body of a 421 to a worker.
+// Redirect is the body of a 421 reply to a worker. It names the leader, if known.
 type Redirect struct {
 	Leader string `json:"steward,omitempty"`
 }
 
-// Problem is the body of refusals.
+// Problem is the body of replies that refuse a request.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// Log is a line for the log.
+// Log is a log line to write.
 type Log struct {
 	Level slog.Level
 	Text  string
