--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -15,41 +15,42 @@
 	keyTypes          = keyRoot + "types"
 	keyClusterVersion = keyRoot + "forms"
 	prefixJobs        = keyRoot + "j/"
-	prefixMachines    = keyRoot + "m/" // a machine of the roster, by versions before the pages
+	prefixMachines    = keyRoot + "m/" // one machine of the registry, as versions before the registry pages wrote it
 	prefixPages       = keyRoot + "r/"
 	prefixVersions    = keyRoot + "v/"
-	// Sorts behind dirJobs: a listing brings a job before its progress.
+	// prefixProgress sorts after prefixJobs, so a listing returns a job before
+	// its progress.
 	prefixProgress = keyRoot + "p/"
 )
 
-// replica is this node's copy of everything under root, kept up by watching.
+// replica is this controller's copy of all keys under keyRoot, updated by a watch.
 type replica struct {
 	loaded       bool
 	loading      bool
 	revision     uint64
-	modRevisions map[string]uint64 // version of each key; of a removed one: its removal
+	modRevisions map[string]uint64 // modification revision of each key; for a removed key, the revision of its removal
 	removed      map[string]bool
 	watching     bool
-	nextWatchAt  time.Duration // not before
+	nextWatchAt  time.Duration // earliest start of the next watch
 
-	pendingReads   []func(ok bool) // want the state as of now or later
+	pendingReads   []func(ok bool) // callbacks that wait for a linearizable read
 	readInFlight   bool
-	nextReadAt     time.Duration
-	lastContactAt  time.Duration // sending of the last request that was answered
-	contactSince   time.Duration // contact without a gap since
-	completeReadAt time.Duration // sending of the last read that made this copy complete
-	hasContact     bool
+	nextReadAt     time.Duration // earliest start of the next linearizable read
+	lastContactAt  time.Duration // when the last answered request was sent
+	contactSince   time.Duration // start of the current period of uninterrupted contact
+	completeReadAt time.Duration // when the last read that made this copy complete was sent
+	hasContact     bool          // the state service has answered at least once
 
 	termModRevision   uint64
-	termWinner        string // who won it
+	termWinner        string // controller that won the term
 	term              uint64
 	leaderNode        string
 	leaderTerm        uint64
 	leaderLease       uint64
 	leaderModRevision uint64
-	leaderKeyGoneAt   time.Duration // when the key was last seen to go
+	leaderKeyGoneAt   time.Duration // when the last change of the leader key was applied
 	typesModRevision  uint64
-	clusterVersion    int // in use by the whole cluster: see version.go
+	clusterVersion    int // version that the whole cluster uses: see version.go
 }
 
 func (r *replica) init() {
@@ -57,18 +58,22 @@
 	r.removed = map[string]bool{}
 }
 
-// storeContactTimeout is the silence after which the state service counts as not
-// reached: a watch ends after a second at the latest.
+// storeContactTimeout is the time without an answer after which the state service
+// counts as unreachable. A watch returns after one second at the latest, so answers
+// normally come more often.
 func (s *State) storeContactTimeout() time.Duration { return s.electionConfig.KeyTTL }
 
-func (s *State) recordStoreContact(sent time.Duration) {
-	if !s.hasContact || sent > s.lastContactAt+s.storeContactTimeout() {
-		s.contactSince = sent
+// recordStoreContact records that the state service has answered a request that was
+// sent at sentAt.
+func (s *State) recordStoreContact(sentAt time.Duration) {
+	if !s.hasContact || sentAt > s.lastContactAt+s.storeContactTimeout() {
+		s.contactSince = sentAt
 	}
 	s.hasContact = true
-	s.lastContactAt = max(s.lastContactAt, sent)
+	s.lastContactAt = max(s.lastContactAt, sentAt)
 }
 
+// sinceStoreContact returns how long ago the last answered request was sent.
 func (s *State) sinceStoreContact() time.Duration {
 	if !s.hasContact {
 		return time.Hour
@@ -76,57 +81,60 @@
 	return s.now - s.lastContactAt
 }
 
+// isStoreReachable reports whether the replica is loaded and the state service has
+// answered recently.
 func (s *State) isStoreReachable() bool {
 	return s.loaded && s.sinceStoreContact() < s.storeContactTimeout()
 }
 
-// load reads everything anew, page by page.
+// load reads all keys again, page by page.
 func (s *State) load() {
 	s.loading = true
-	var rev uint64
-	first, sent := true, s.now
+	var firstRevision uint64
+	first, sentAt := true, s.now
 	seen := map[string]bool{}
-	var page func(from string)
-	page = func(from string) {
-		s.callStore(StoreCall{Op: StoreList, Prefix: keyRoot, StartAfter: from, Limit: 500}, func(d StoreResult) {
-			if d.Status != 200 {
+	var loadPage func(startAfter string)
+	loadPage = func(startAfter string) {
+		s.callStore(StoreCall{Op: StoreList, Prefix: keyRoot, StartAfter: startAfter, Limit: 500}, func(result StoreResult) {
+			if result.Status != 200 {
 				s.loading = false
 				s.nextWatchAt = s.now + 300*time.Millisecond
 				return
 			}
 			if first {
-				// Changes after the first page's revision come by watch. An
-				// empty store is at revision 0, and its first change must not
-				// be missed.
-				first, rev = false, d.Revision
+				// The watch brings the changes after the revision of the first
+				// page. An empty store has revision 0, and the watch must not
+				// miss its first change.
+				first, firstRevision = false, result.Revision
 			}
-			for _, it := range d.Items {
-				seen[it.Key] = true
-				s.apply(it)
+			for _, item := range result.Items {
+				seen[item.Key] = true
+				s.apply(item)
 			}
-			if d.More && len(d.Items) > 0 {
-				page(d.Items[len(d.Items)-1].Key)
+			if result.More && len(result.Items) > 0 {
+				loadPage(result.Items[len(result.Items)-1].Key)
 				return
 			}
-			// What a gap in the watch has hidden: keys that are gone.
-			for _, k := range sortedKeys(s.modRevisions) {
-				if !seen[k] && !s.removed[k] && s.modRevisions[k] <= rev {
-					s.apply(Item{Key: k, ModRevision: rev, Removed: true})
+			// Keys that were removed during an interruption of the watch are
+			// missing from the listing.
+			for _, key := range sortedKeys(s.modRevisions) {
+				if !seen[key] && !s.removed[key] && s.modRevisions[key] <= firstRevision {
+					s.apply(Item{Key: key, ModRevision: firstRevision, Removed: true})
 				}
 			}
 			s.loading, s.loaded = false, true
-			s.revision = max(s.revision, rev)
-			s.recordCompleteRead(sent)
+			s.revision = max(s.revision, firstRevision)
+			s.recordCompleteRead(sentAt)
 			s.voter.LimitPreviousReadLease(s.term)
 			s.releasePreviousIncarnation()
 			s.log(slog.LevelInfo, "state loaded", "rev", s.revision, "jobs", len(s.jobs), "machines", len(s.machines))
 		})
 	}
-	page("")
+	loadPage("")
 }
 
-// maintainWatch keeps one watch open. It blocks for a second at most, so that its
-// answers also show that the state service is reached.
+// maintainWatch keeps one watch open. A watch blocks for one second at most, so its
+// answers also show that the state service is reachable.
 func (s *State) maintainWatch() {
 	if s.now < s.nextWatchAt || s.loading || s.watching || !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
@@ -137,52 +145,56 @@
 	}
 	s.dropTombstones()
 	s.watching = true
-	sent := s.now
-	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, BlockTimeout: time.Second, Timeout: 2 * time.Second}, func(d StoreResult) {
+	sentAt := s.now
+	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, BlockTimeout: time.Second, Timeout: 2 * time.Second}, func(result StoreResult) {
 		s.watching = false
-		s.nextWatchAt = max(s.now, sent+200*time.Millisecond)
-		s.applyWatchResult(d, sent)
+		s.nextWatchAt = max(s.now, sentAt+200*time.Millisecond)
+		s.applyWatchResult(result, sentAt)
 	})
 }
 
-// dropTombstones forgets removed keys, so that memory doesn't grow with every
-// machine and job that ever was. A tombstone keeps older news of its key from
-// bringing it back; with no request under way, none can come any more.
+// dropTombstones forgets removed keys, so that memory does not grow with every
+// machine and job that ever existed. A tombstone prevents an outdated answer from
+// restoring its key. It is no longer needed when no request is in flight.
 func (s *State) dropTombstones() {
 	if s.readInFlight || s.txnInFlight || s.loading {
 		return
 	}
-	for k := range s.removed {
-		if s.modRevisions[k] <= s.revision {
-			delete(s.modRevisions, k)
-			delete(s.removed, k)
+	for key := range s.removed {
+		if s.modRevisions[key] <= s.revision {
+			delete(s.modRevisions, key)
+			delete(s.removed, key)
 		}
 	}
 }
 
-func (s *State) applyWatchResult(d StoreResult, sent time.Duration) bool {
-	switch d.Status {
+// applyWatchResult applies the answer to a watch or a linearizable read that was
+// sent at sentAt. It reports whether the replica is complete as of that time.
+func (s *State) applyWatchResult(result StoreResult, sentAt time.Duration) bool {
+	switch result.Status {
 	case 200:
-		for _, it := range d.Items {
-			s.apply(it)
+		for _, item := range result.Items {
+			s.apply(item)
 		}
-		s.revision = max(s.revision, d.Revision)
-		s.recordCompleteRead(sent)
-		s.logDebug("state read", "sent", sent, "received", s.now, "rev", d.Revision, "changes", len(d.Items))
+		s.revision = max(s.revision, result.Revision)
+		s.recordCompleteRead(sentAt)
+		s.logDebug("state read", "sent", sentAt, "received", s.now, "rev", result.Revision, "changes", len(result.Items))
 		return true
 	case 410:
-		// Too far behind: read everything again.
+		// The state service no longer keeps the changes since that revision, so
+		// everything is read again.
 		s.loaded = false
 	}
 	s.nextWatchAt = max(s.nextWatchAt, s.now+200*time.Millisecond)
 	return false
 }
 
-// linearizableRead calls f once the replica shows the state as of now or later, or with
-// false when the state service doesn't answer. Nothing else may back an
-// answer to a user: another node may have said something newer.
-func (s *State) linearizableRead(f func(ok bool)) { s.pendingReads = append(s.pendingReads, f) }
+// linearizableRead calls done(true) once the replica shows the state as of now or
+// later, or done(false) if the state service does not answer. Replies to users must
+// be based on such a read: another controller may have given a user a newer answer.
+func (s *State) linearizableRead(done func(ok bool)) { s.pendingReads = append(s.pendingReads, done) }
 
+// sendLinearizableRead sends one request for all pending reads, if none is in flight.
 func (s *State) sendLinearizableRead() {
 	if len(s.pendingReads) == 0 || s.readInFlight || s.now < s.nextReadAt {
 		return
@@ -195,78 +207,80 @@
 		return
 	}
 	s.readInFlight = true
-	waiters := s.takePendingReads()
-	sent := s.now
-	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, Timeout: time.Second}, func(d StoreResult) {
+	reads := s.takePendingReads()
+	sentAt := s.now
+	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, Timeout: time.Second}, func(result StoreResult) {
 		s.readInFlight = false
-		// Spaced so that polls alone can't use up the request rate.
-		s.nextReadAt = sent + time.Duration(float64(4*s.electionConfig.Nodes)/s.cfg.StoreRPS*float64(time.Second))
-		s.finishReads(waiters, s.applyWatchResult(d, sent))
+		// The reads are spaced so that polls alone cannot use up the request rate.
+		s.nextReadAt = sentAt + time.Duration(float64(4*s.electionConfig.Nodes)/s.cfg.StoreRPS*float64(time.Second))
+		s.finishReads(reads, s.applyWatchResult(result, sentAt))
 	})
 }
 
 func (s *State) takePendingReads() []func(bool) {
-	w := s.pendingReads
+	reads := s.pendingReads
 	s.pendingReads = nil
-	return w
+	return reads
 }
 
-func (s *State) finishReads(waiters []func(bool), ok bool) {
-	for _, f := range waiters {
-		f(ok)
+func (s *State) finishReads(reads []func(bool), ok bool) {
+	for _, done := range reads {
+		done(ok)
 	}
 }
 
-// apply takes a key's new value, unless something newer is known. Watches,
-// syncs, nudges and our own writes may bring the same news in any order.
-func (s *State) apply(it Item) {
-	if it.ModRevision <= s.modRevisions[it.Key] {
+// apply applies a key's new value to the replica, unless a newer one is known.
+// Watches, linearizable reads, change notices from peers and this controller's own
+// writes may bring the same changes in any order.
+func (s *State) apply(item Item) {
+	if item.ModRevision <= s.modRevisions[item.Key] {
 		return
 	}
-	s.modRevisions[it.Key] = it.ModRevision
-	if it.Removed {
-		s.removed[it.Key] = true
+	s.modRevisions[item.Key] = item.ModRevision
+	if item.Removed {
+		s.removed[item.Key] = true
 	} else {
-		delete(s.removed, it.Key)
+		delete(s.removed, item.Key)
 	}
 	switch {
-	case it.Key == keyTerm:
-		var v termValue
-		if json.Unmarshal(it.Value, &v) == nil {
-			s.term, s.termModRevision, s.termWinner = max(s.term, v.Term), it.ModRevision, v.Node
-			s.acknowledgeUpTo(it.ModRevision) // whoever won it has read all before
+	case item.Key == keyTerm:
+		var value termValue
+		if json.Unmarshal(item.Value, &value) == nil {
+			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Node
+			s.acknowledgeUpTo(item.ModRevision) // the winner reads all earlier changes before it acts
 		}
 		s.stepDownIfSuperseded()
-	case it.Key == keyLeader:
+	case item.Key == keyLeader:
 		s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
 		s.leaderKeyGoneAt = s.now
-		if !it.Removed {
-			var v leaderValue
-			if json.Unmarshal(it.Value, &v) == nil {
-				s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = v.Node, v.Term, v.Lease, it.ModRevision
+		if !item.Removed {
+			var value leaderValue
+			if json.Unmarshal(item.Value, &value) == nil {
+				s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = value.Node, value.Term, value.Lease, item.ModRevision
 			}
 		}
-	case it.Key == keyClusterVersion:
-		s.applyClusterVersion(it)
-	case strings.HasPrefix(it.Key, prefixVersions):
-		s.applyControllerVersion(strings.TrimPrefix(it.Key, prefixVersions), it)
-	case it.Key == keyTypes:
-		s.typesModRevision = it.ModRevision
-		s.loadTypes(it.Value)
-	case strings.HasPrefix(it.Key, prefixJobs):
-		s.applyJobKey(strings.TrimPrefix(it.Key, prefixJobs), it)
-	case strings.HasPrefix(it.Key, prefixProgress):
-		if !it.Removed {
-			s.applyBitmapKey(strings.TrimPrefix(it.Key, prefixProgress), it)
+	case item.Key == keyClusterVersion:
+		s.applyClusterVersion(item)
+	case strings.HasPrefix(item.Key, prefixVersions):
+		s.applyControllerVersion(strings.TrimPrefix(item.Key, prefixVersions), item)
+	case item.Key == keyTypes:
+		s.typesModRevision = item.ModRevision
+		s.loadTypes(item.Value)
+	case strings.HasPrefix(item.Key, prefixJobs):
+		s.applyJobKey(strings.TrimPrefix(item.Key, prefixJobs), item)
+	case strings.HasPrefix(item.Key, prefixProgress):
+		if !item.Removed {
+			s.applyBitmapKey(strings.TrimPrefix(item.Key, prefixProgress), item)
 		}
-	case strings.HasPrefix(it.Key, prefixPages):
-		s.applyPage(strings.TrimPrefix(it.Key, prefixPages), it)
-	case strings.HasPrefix(it.Key, prefixMachines):
-		s.applyMachineKey(strings.TrimPrefix(it.Key, prefixMachines), it)
+	case strings.HasPrefix(item.Key, prefixPages):
+		s.applyPage(strings.TrimPrefix(item.Key, prefixPages), item)
+	case strings.HasPrefix(item.Key, prefixMachines):
+		s.applyMachineKey(strings.TrimPrefix(item.Key, prefixMachines), item)
 	}
 }
 
-// modRevision is the version to guard a key with: 0 where it does not exist.
+// modRevision returns a key's modification revision, for use as a precondition. It is
+// 0 for a key that does not exist.
 func (s *State) modRevision(key string) uint64 {
 	if s.removed[key] {
 		return 0
@@ -274,14 +288,15 @@
 	return s.modRevisions[key]
 }
 
-// leaderValue is the leader's key, kept by the lease Grant.
+// leaderValue is the value of the leader key. The key exists as long as Lease does.
 type leaderValue struct {
 	Node  string `json:"node"`
 	Term  uint64 `json:"term"`
 	Lease uint64 `json:"grant,omitempty"`
 }
 
-// termValue is the last term that was won, and by whom.
+// termValue is the value of the term key: the last term that was won, and the
+// controller that won it.
 type termValue struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node,omitempty"`
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -8,106 +8,114 @@
 	"golang.org/x/time/rate"
 )
 
-// write is one guarded change on its way to the state service.
+// write is one change that waits to be written to the state service, with its
+// preconditions.
 type write struct {
 	change      Change
-	modRevision uint64 // version that the key must have
-	leaderTerm  uint64 // term whose leadership backs it; 0: any node may
+	modRevision uint64 // modification revision that the key must have
+	leaderTerm  uint64 // only the leader of this term may write it; 0: any controller may
 	deadline    time.Duration
 	done        func(outcome)
-	alsoRemove  []Change // removed along with it
+	alsoRemove  []Change // keys removed in the same transaction
 	class       writeClass
-	isObsolete  func() bool // no longer wanted, if set
+	isObsolete  func() bool // if set, reports whether the write is no longer needed
 }
 
-// writeClass is the order in which changes go out: no user waits behind the
-// leader's bulk.
+// writeClass determines the order in which changes are written. Users' changes come
+// first, so that they do not wait behind the leader's bulk of changes.
 type writeClass int
 
 const (
 	classUser   writeClass = iota
-	classJobEnd            // of jobs: users wait for that too
+	classJobEnd            // ends of jobs, for which users wait too
 	classRegistry
 	classBitmap
 )
 
+// outcome is the result of a write.
 type outcome int
 
 const (
-	written  outcome = iota // durable
-	conflict                // the key has changed; the replica shows how
-	failed                  // not known to be durable; nothing more is tried
+	written  outcome = iota // the change is durable
+	conflict                // the key has changed meanwhile; the replica holds the new value
+	failed                  // the change may or may not be durable; it is not retried
 )
 
-// writer coalesces changes: one transaction at a time, and whatever came up
-// in the meantime goes into the next.
+// writer combines changes into transactions. One transaction is in flight at a time;
+// changes that are queued meanwhile go into the next one.
 type writer struct {
 	queue       []*write
 	txnInFlight bool
 	nextTxnAt   time.Duration
 }
 
-// queueWrite queues a change, guarded by the version that the replica knows.
+// queueWrite queues a change, with the key's modification revision in the replica as
+// precondition.
 func (s *State) queueWrite(w *write) {
 	w.modRevision = s.modRevision(w.change.Key)
 	s.insertWrite(w)
 }
 
+// insertWrite puts w into the queue behind all writes of its class and of the classes
+// before.
 func (s *State) insertWrite(w *write) {
-	at := len(s.queue)
-	for at > 0 && s.queue[at-1].class > w.class {
-		at--
+	position := len(s.queue)
+	for position > 0 && s.queue[position-1].class > w.class {
+		position--
 	}
-	s.queue = slices.Insert(s.queue, at, w)
+	s.queue = slices.Insert(s.queue, position, w)
 }
 
-// setWriteRate divides the state service's write rate: the leader has bulk to
-// write, the others only what users ask of them.
+// setWriteRate sets this controller's share of the state service's write rate. The
+// leader gets the largest share for its bulk of changes; the others only write what
+// users request of them.
 func (s *State) setWriteRate(leading bool) {
-	n := float64(s.electionConfig.Nodes)
-	part := 1 / (2 * n)
+	nodes := float64(s.electionConfig.Nodes)
+	share := 1 / (2 * nodes)
 	if leading {
-		part = 1 - part*(n-1)
+		share = 1 - share*(nodes-1)
 	}
-	rps := s.cfg.StoreWriteRPS * 0.95 * part
+	rps := s.cfg.StoreWriteRPS * 0.95 * share
 	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(rps))
 	s.writeRate.SetBurstAt(s.limiterTime(), max(1, int(rps)))
 }
 
-const maxTxnBytes = 48 << 10 // of the protocol's 64 KiB, leaving room for guards
+// maxTxnBytes limits the estimated size of a transaction's changes. The state service
+// accepts 64 KiB; the rest is left for preconditions.
+const maxTxnBytes = 48 << 10
 
-// sendNextTxn sends the next transaction, if none is under way.
+// sendNextTxn sends the next transaction, if none is in flight.
 func (s *State) sendNextTxn() {
 	if s.txnInFlight || len(s.queue) == 0 || s.now < s.nextTxnAt {
 		return
 	}
 	waiting := s.queue
-	s.queue = nil // what the callbacks below add is kept behind
-	b := &batch{maxOps: s.cfg.MaxTxnOps, keys: map[string]bool{}}
+	s.queue = nil // collects the writes that the callbacks below queue
+	next := &batch{maxOps: s.cfg.MaxTxnOps, keys: map[string]bool{}}
 	for _, w := range waiting {
 		if s.isObsolete(w) {
 			w.done(failed)
 			continue
 		}
-		b.add(w)
+		next.add(w)
 	}
-	late := s.queue
-	s.queue = append(b.writes[:len(b.writes):len(b.writes)], b.deferred...)
-	for _, w := range late {
+	added := s.queue
+	s.queue = append(next.writes[:len(next.writes):len(next.writes)], next.deferred...)
+	for _, w := range added {
 		s.insertWrite(w)
 	}
-	if len(b.writes) == 0 || !s.writeRate.AllowN(s.limiterTime(), min(b.ops, s.writeRate.Burst())) || !s.storeRate.AllowN(s.limiterTime(), 1) {
+	if len(next.writes) == 0 || !s.writeRate.AllowN(s.limiterTime(), min(next.ops, s.writeRate.Burst())) || !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
 	}
 	s.queue = s.queue[:0:0]
-	for _, w := range append(b.deferred, late...) {
+	for _, w := range append(next.deferred, added...) {
 		s.insertWrite(w)
 	}
-	s.transact(b.writes, b.requiresLeadership)
+	s.transact(next.writes, next.requiresLeadership)
 }
 
-// isObsolete says whether w is not to be tried any more: its leadership or its time
-// is over, or it is no longer wanted.
+// isObsolete reports whether w must not be tried any more, because its leadership or
+// its deadline is over, or because it is no longer needed.
 func (s *State) isObsolete(w *write) bool {
 	if w.leaderTerm != 0 && (!s.IsLeader() || s.leadership.Term != w.leaderTerm) {
 		return true
@@ -115,21 +123,21 @@
 	return s.now >= w.deadline || w.isObsolete != nil && w.isObsolete()
 }
 
-// batch gathers writes for one transaction, within the state service's limits.
+// batch collects writes for one transaction, within the state service's limits.
 type batch struct {
 	maxOps             int
 	writes             []*write
-	deferred           []*write // for the transactions to come
+	deferred           []*write // left for later transactions
 	ops, size          int
-	requiresLeadership bool // backed by a leadership
+	requiresLeadership bool // whether the writes are those of a leader's term
 	keys               map[string]bool
 }
 
-// add takes w into the transaction, or leaves it for a later one.
+// add adds w to the transaction, or defers it to a later one.
 func (b *batch) add(w *write) {
-	n := 1 + len(w.alsoRemove)
-	full := b.ops > 0 && (b.ops+n > b.maxOps || b.size+len(w.change.Value) > maxTxnBytes)
-	// A user's change must not fail with a leader's term.
+	ops := 1 + len(w.alsoRemove)
+	full := b.ops > 0 && (b.ops+ops > b.maxOps || b.size+len(w.change.Value) > maxTxnBytes)
+	// A user's change must not fail because a leader's term has ended.
 	mixed := b.ops > 0 && b.requiresLeadership != (w.leaderTerm != 0)
 	if full || mixed || b.keys[w.change.Key] {
 		b.deferred = append(b.deferred, w)
@@ -137,62 +145,65 @@
 	}
 	b.requiresLeadership = w.leaderTerm != 0
 	b.keys[w.change.Key] = true
-	b.ops += n
+	b.ops += ops
 	b.size += len(w.change.Value) + 2*len(w.change.Key) + 64
 	b.writes = append(b.writes, w)
 }
 
-func (s *State) transact(batch []*write, led bool) {
+// transact sends a transaction and handles its result. requiresLeadership adds the
+// precondition that this leader's term is still the last one.
+func (s *State) transact(batch []*write, requiresLeadership bool) {
 	s.txnInFlight = true
-	c := StoreCall{Op: StoreTxn, Timeout: time.Second}
-	if led {
-		// No transaction of a former leader may succeed, however late.
-		c.Preconditions = append(c.Preconditions, Precondition{keyTerm, s.termModRevision})
+	call := StoreCall{Op: StoreTxn, Timeout: time.Second}
+	if requiresLeadership {
+		// No transaction of a former leader may succeed, however late it arrives.
+		call.Preconditions = append(call.Preconditions, Precondition{keyTerm, s.termModRevision})
 	}
 	for _, w := range batch {
-		c.Preconditions = append(c.Preconditions, Precondition{w.change.Key, w.modRevision})
-		c.Changes = append(c.Changes, w.change)
-		c.Changes = append(c.Changes, w.alsoRemove...)
+		call.Preconditions = append(call.Preconditions, Precondition{w.change.Key, w.modRevision})
+		call.Changes = append(call.Changes, w.change)
+		call.Changes = append(call.Changes, w.alsoRemove...)
 	}
-	s.callStore(c, func(d StoreResult) {
+	s.callStore(call, func(result StoreResult) {
 		s.txnInFlight = false
-		switch d.Status {
+		switch result.Status {
 		case 200:
 			for _, w := range batch {
-				s.apply(Item{Key: w.change.Key, Value: w.change.Value, ModRevision: d.Revision, Removed: w.change.Remove})
-				for _, x := range w.alsoRemove {
-					s.apply(Item{Key: x.Key, ModRevision: d.Revision, Removed: true})
+				s.apply(Item{Key: w.change.Key, Value: w.change.Value, ModRevision: result.Revision, Removed: w.change.Remove})
+				for _, change := range w.alsoRemove {
+					s.apply(Item{Key: change.Key, ModRevision: result.Revision, Removed: true})
 				}
 				w.done(written)
 			}
 		case 409:
-			s.resolveConflict(batch, d.FailedKeys)
+			s.resolveConflict(batch, result.FailedKeys)
 		case 400:
-			s.log(slog.LevelError, "state service refused a transaction", "error", d.Err, "key", batch[0].change.Key)
+			s.log(slog.LevelError, "state service rejected a transaction as invalid", "error", result.Err, "key", batch[0].change.Key)
 			for _, w := range batch {
 				w.done(failed)
 			}
 		default:
-			// 503 and 429: not executed. No answer: perhaps executed, perhaps
-			// later; the same guarded change can be tried again safely, since
-			// it either wins once or shows up in the conflict.
+			// With 503 and 429 the transaction was not executed. Without an answer
+			// it may have been executed, or may yet be. Retrying is safe because
+			// of the preconditions: the change is made at most once, and a retry
+			// of a change that was made fails as a conflict.
 			waiting := s.queue
 			s.queue = batch
 			for _, w := range waiting {
 				s.insertWrite(w)
 			}
 			s.nextTxnAt = s.now + 100*time.Millisecond
-			if d.Status == 503 {
+			if result.Status == 503 {
 				s.failUserWrites()
 			}
 		}
 	})
 }
 
-// failUserWrites ends the users' waiting changes: the store refuses us for now,
-// and a user is told so at once.
+// failUserWrites fails the users' queued changes. The state service refuses this
+// controller for now, and users are told so at once.
 func (s *State) failUserWrites() {
-	var rest []*write
+	var remaining []*write
 	waiting := s.queue
 	s.queue = nil
 	for _, w := range waiting {
@@ -200,34 +211,35 @@
 			w.done(failed)
 			continue
 		}
-		rest = append(rest, w)
+		remaining = append(remaining, w)
 	}
-	for _, w := range rest {
+	for _, w := range remaining {
 		s.insertWrite(w)
 	}
 }
 
-// resolveConflict sorts out a transaction whose guards failed. The cause may be our
-// own earlier try whose answer was lost, so the keys are read back first.
-func (s *State) resolveConflict(batch []*write, keys []string) {
-	bad := map[string]bool{}
-	for _, k := range keys {
-		bad[k] = true
+// resolveConflict handles a transaction whose preconditions failed. The cause may be
+// this controller's own earlier attempt whose answer was lost, so the state is read
+// before the outcome of each write is decided.
+func (s *State) resolveConflict(batch []*write, failedKeys []string) {
+	hasFailed := map[string]bool{}
+	for _, key := range failedKeys {
+		hasFailed[key] = true
 	}
 	s.linearizableRead(func(ok bool) {
 		for _, w := range batch {
 			switch {
 			case !ok:
 				s.insertWrite(w)
-			case bad[w.change.Key]:
+			case hasFailed[w.change.Key]:
 				w.done(conflict)
-			case w.leaderTerm != 0 && bad[keyTerm]:
+			case w.leaderTerm != 0 && hasFailed[keyTerm]:
 				w.done(failed)
 			default:
 				s.insertWrite(w)
 			}
 		}
-		if bad[keyTerm] {
+		if hasFailed[keyTerm] {
 			s.stepDownIfSuperseded()
 		}
 	})
