--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -7,14 +7,17 @@
 	"mulleinfall/internal/election"
 )
 
-// Campaigns: votes first, the key in the state service second.
+// A campaign first collects promises from a majority of the controllers and then
+// creates the leader key in the state service.
 
-// campaignDelay staggers candidacies, so that two rarely split the promises.
+// campaignDelay returns a random delay before the next campaign. It spreads campaigns
+// out, so that two candidates rarely split the promises between them.
 func (s *State) campaignDelay() time.Duration {
 	return time.Duration((0.05 + 0.25*s.random.Float64()) * float64(s.electionConfig.PromiseDuration))
 }
 
-// campaign keeps a leadership up or tries to win one.
+// campaign maintains this controller's leadership, continues its campaign, or starts
+// one if there is no leader and no reason to let other controllers go first.
 func (s *State) campaign() {
 	if s.leadership != nil && s.electedAt != 0 {
 		s.maintainLeadership()
@@ -27,17 +30,19 @@
 	if s.now < s.campaignAt || s.now < s.noCampaignUntil || !s.isStoreReachable() || s.leaderNode != "" {
 		return
 	}
-	if node, bound := s.voter.PromisedTo(s.now); bound && node != s.cfg.Self {
+	if node, inForce := s.voter.PromisedTo(s.now); inForce && node != s.cfg.Self {
 		return
 	}
 	if s.steppedDownUnreached && s.now-s.leaderKeyGoneAt < s.cfg.Lease/4 {
-		// It led without being reached before and has heard no worker since:
-		// the others go first. Elected again, it cost the workers a lease.
+		// This controller stepped down because no worker reached it, and it has
+		// received no report since. The others go first: if it were elected
+		// again, the workers would lose their leases.
 		return
 	}
 	if s.leadershipExpiredAt != 0 && s.now-s.leadershipExpiredAt < s.cfg.Lease && s.now-s.leaderKeyGoneAt < s.electionConfig.PromiseDuration/2 {
-		// It could not keep its own term up: the others go first. Two controllers
-		// that computed slowly passed the lead to and fro while a third was well.
+		// This controller could not renew its last leadership in time, so the
+		// others go first. Otherwise two slow controllers can take turns as leader
+		// while a third would work well.
 		return
 	}
 	term := max(s.term, s.voter.HighestTerm())
@@ -47,11 +52,12 @@
 	term++
 	s.leadership, s.previousTerm = election.NewLeadership(s.electionConfig, s.now, term, s.termModRevision), s.term
 	s.requestVotesAt, s.leaseID, s.keyRequestInFlight = 0, 0, false
-	s.campaignAt = s.now + s.electionConfig.PromiseDuration // candidacy ends here
+	s.campaignAt = s.now + s.electionConfig.PromiseDuration // deadline of this campaign
 	s.advanceCampaign()
 }
 
-// advanceCampaign gathers promises, then a lease, then the key under it.
+// advanceCampaign takes the next step of a campaign: it collects promises, then
+// requests a lease, then creates the leader key under that lease.
 func (s *State) advanceCampaign() {
 	if s.now >= s.campaignAt && !s.keyRequestInFlight {
 		s.stepDown("no majority in time")
@@ -64,7 +70,7 @@
 		return
 	}
 	if s.leadership.TermModRevision != s.termModRevision {
-		// Promises were given for the version before.
+		// The promises were given for an earlier revision of the term key.
 		s.stepDown("another term was won meanwhile")
 		return
 	}
@@ -76,76 +82,79 @@
 	s.requestLeaderKey()
 }
 
-// requestLease asks the state service for the lease of the leader's key.
+// requestLease requests the lease of the leader key from the state service.
 func (s *State) requestLease() {
-	t, sent := s.leadership, s.now
-	s.callStore(StoreCall{Op: StoreLease, TTL: s.electionConfig.KeyTTL}, func(d StoreResult) {
-		if s.leadership != t {
+	leadership, sentAt := s.leadership, s.now
+	s.callStore(StoreCall{Op: StoreLease, TTL: s.electionConfig.KeyTTL}, func(result StoreResult) {
+		if s.leadership != leadership {
 			return
 		}
 		s.keyRequestInFlight = false
-		if d.Status != 200 {
-			s.stepDown("no lease")
+		if result.Status != 200 {
+			s.stepDown("no lease for the leader key")
 			return
 		}
-		s.leaseID, s.leaseRequestedAt = d.Lease, sent
+		s.leaseID, s.leaseRequestedAt = result.Lease, sentAt
 		s.advanceCampaign()
 	})
 }
 
-// requestLeaderKey sets the term and the leader's key, if both are as they were when
-// the promises were given.
+// requestLeaderKey writes the term key and creates the leader key, if both are as they
+// were when the promises were given.
 func (s *State) requestLeaderKey() {
-	t, sent := s.leadership, s.leaseRequestedAt
+	leadership, leaseRequestedAt := s.leadership, s.leaseRequestedAt
 	s.callStore(StoreCall{
 		Op:            StoreTxn,
-		Preconditions: []Precondition{{keyTerm, t.TermModRevision}, {keyLeader, 0}},
+		Preconditions: []Precondition{{keyTerm, leadership.TermModRevision}, {keyLeader, 0}},
 		Changes: []Change{
-			{Key: keyTerm, Value: mustMarshal(termValue{t.Term, s.cfg.Self})},
-			{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, t.Term, s.leaseID}), Lease: s.leaseID},
+			{Key: keyTerm, Value: mustMarshal(termValue{leadership.Term, s.cfg.Self})},
+			{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, leadership.Term, s.leaseID}), Lease: s.leaseID},
 		},
-	}, func(d StoreResult) {
-		if s.leadership != t {
+	}, func(result StoreResult) {
+		if s.leadership != leadership {
 			return
 		}
 		s.keyRequestInFlight = false
-		if d.Status != 200 || !t.ConfirmElection(s.now, sent) {
-			s.leaderKeyNotWon(d)
+		if result.Status != 200 || !leadership.ConfirmElection(s.now, leaseRequestedAt) {
+			s.leaderKeyNotWon(result)
 			return
 		}
-		s.startLeadership(d.Revision)
+		s.startLeadership(result.Revision)
 	})
 }
 
-func (s *State) leaderKeyNotWon(d StoreResult) {
-	s.log(slog.LevelDebug, "key not won", "term", s.leadership.Term, "status", d.Status, "failed", d.FailedKeys)
-	if d.Status == 409 {
-		// Another was faster, or this copy of the state is not what it
-		// should be: read it anew rather than fail for ever.
+// leaderKeyNotWon ends a campaign whose request for the leader key failed.
+func (s *State) leaderKeyNotWon(result StoreResult) {
+	s.log(slog.LevelDebug, "leader key not won", "term", s.leadership.Term, "status", result.Status, "failed", result.FailedKeys)
+	if result.Status == 409 {
+		// Another candidate was faster, or the replica differs from the state
+		// service. In the second case every later campaign would fail as well, so
+		// everything is read again.
 		s.loaded = false
 	}
-	s.stepDown("key not won")
+	s.stepDown("leader key not won")
 }
 
-// startLeadership begins the leadership that was won at a revision.
-func (s *State) startLeadership(rev uint64) {
-	t := s.leadership
-	// Before the term is applied: else it would look won by another.
-	s.firstTerm = t.TermModRevision == 0 // nobody has led before
-	s.electedAt, s.electedRevision = s.now, rev
-	s.apply(Item{Key: keyTerm, Value: mustMarshal(termValue{t.Term, s.cfg.Self}), ModRevision: rev})
-	s.apply(Item{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, t.Term, s.leaseID}), ModRevision: rev})
+// startLeadership starts the leadership that was won at revision.
+func (s *State) startLeadership(revision uint64) {
+	leadership := s.leadership
+	// electedAt must be set before the term key is applied, or the term would look
+	// as if another controller had won it.
+	s.firstTerm = leadership.TermModRevision == 0 // no controller has led before
+	s.electedAt, s.electedRevision = s.now, revision
+	s.apply(Item{Key: keyTerm, Value: mustMarshal(termValue{leadership.Term, s.cfg.Self}), ModRevision: revision})
+	s.apply(Item{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, leadership.Term, s.leaseID}), ModRevision: revision})
 	s.requestVotesAt, s.renewAt = 0, s.now
-	s.log(slog.LevelInfo, "elected", "term", t.Term)
+	s.log(slog.LevelInfo, "elected", "term", leadership.Term)
 	s.catchUp()
 }
 
-// catchUp makes sure that the new leader has seen all that former leaders
-// have written, before it acts.
+// catchUp reads the state as of the election, so that the new leader knows everything
+// that former leaders have written before it acts.
 func (s *State) catchUp() {
-	t := s.leadership
+	leadership := s.leadership
 	s.linearizableRead(func(ok bool) {
-		if s.leadership != t || s.caughtUp {
+		if s.leadership != leadership || s.caughtUp {
 			return
 		}
 		if !ok || s.revision < s.electedRevision {
@@ -158,35 +167,37 @@
 	})
 }
 
-// recordVoteRefusal ends a candidacy that can't get a majority any more, so that its
-// own promise to itself doesn't stand in another's way.
-func (s *State) recordVoteRefusal(p *peerState) {
-	p.refusedTerm = s.leadership.Term
-	left := s.electionConfig.Nodes
-	for _, o := range s.peers {
-		if o.refusedTerm == s.leadership.Term {
-			left--
+// recordVoteRefusal records a peer's refusal. It ends a campaign that cannot get a
+// majority any more, so that this controller's promise to itself does not block
+// another candidate.
+func (s *State) recordVoteRefusal(peer *peerState) {
+	peer.refusedTerm = s.leadership.Term
+	possibleVotes := s.electionConfig.Nodes
+	for _, other := range s.peers {
+		if other.refusedTerm == s.leadership.Term {
+			possibleVotes--
 		}
 	}
-	if left < s.electionConfig.Nodes/2+1 {
+	if possibleVotes < s.electionConfig.Nodes/2+1 {
 		s.stepDown("refused by the others")
 	}
 }
 
-// requestVotes asks the peers for promises, as candidate or leader.
-func (s *State) requestVotes(every time.Duration) {
-	s.requestVotesAt = s.now + every
-	t := s.leadership
-	s.preapprove(s.cfg.Self, t.Term, t.TermModRevision)
-	if s.voter.Grant(s.now, s.cfg.Self, t.Term) {
-		t.RecordPromise(s.now, s.cfg.Self, s.now)
-	}
-	m := PeerMsg{Kind: MsgVoteRequest, Ask: s.cfg.Incarnation, Version: s.cfg.Version, Term: t.Term, Stamp: t.TermModRevision, Sent: s.now, StoreOK: s.isStoreReachable(), StoreAge: s.sinceStoreContact()}
+// requestVotes asks the peers for promises, as candidate or leader, and does so again
+// after interval.
+func (s *State) requestVotes(interval time.Duration) {
+	s.requestVotesAt = s.now + interval
+	leadership := s.leadership
+	s.preapprove(s.cfg.Self, leadership.Term, leadership.TermModRevision)
+	if s.voter.Grant(s.now, s.cfg.Self, leadership.Term) {
+		leadership.RecordPromise(s.now, s.cfg.Self, s.now)
+	}
+	request := PeerMsg{Kind: MsgVoteRequest, Ask: s.cfg.Incarnation, Version: s.cfg.Version, Term: leadership.Term, Stamp: leadership.TermModRevision, Sent: s.now, StoreOK: s.isStoreReachable(), StoreAge: s.sinceStoreContact()}
 	if s.caughtUp {
 		s.acknowledgeUpTo(s.revision)
-		m.Rev, m.Read = s.revision, s.now-s.completeReadAt > s.electionConfig.MaxStaleness/4
+		request.Rev, request.Read = s.revision, s.now-s.completeReadAt > s.electionConfig.MaxStaleness/4
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, m})
+		s.emit(PeerOut{p, request})
 	}
 }
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -7,62 +7,69 @@
 	"mulleinfall/internal/election"
 )
 
-// leadState is what concerns leadership: promises, candidacy and the key.
+// leadState holds the state of elections and of this controller's leadership.
 type leadState struct {
 	voter              *election.Voter
 	peers              map[string]*peerState
-	leadership         *election.Leadership // candidacy or leadership; nil for a follower
+	leadership         *election.Leadership // campaign or leadership; nil for a follower
 	leaseID            uint64               // lease of the leader key
-	leaseRequestedAt   time.Duration        // sending of the request that got it
-	keyRequestInFlight bool                 // lease or key transaction under way
-	renewalInFlight    bool                 // a renewal of the key is under way
+	leaseRequestedAt   time.Duration        // when that lease was requested
+	keyRequestInFlight bool                 // a request for the lease or the leader key is in flight
+	renewalInFlight    bool                 // a renewal of the leader key is in flight
 
-	// Nothing of the kind before these times.
+	// campaignAt is when the next campaign may start, or the deadline of the current
+	// one. The leader requests votes and renews its key next at requestVotesAt and
+	// renewAt; the next announcement of a restart is due at announceRestartAt. Until
+	// noCampaignUntil this controller does not campaign, because it has stepped down
+	// in favor of another.
 	campaignAt, requestVotesAt, renewAt, announceRestartAt, noCampaignUntil time.Duration
 
-	steppedDownUnreached bool          // stepped down because no worker came, and none has come since
-	leadershipExpiredAt  time.Duration // stepped down because its entitlement ran out; 0: never
+	steppedDownUnreached bool          // stepped down because no worker reached it, and none has since
+	leadershipExpiredAt  time.Duration // when its right to act last expired; 0: never
 
-	electedAt       time.Duration
+	electedAt       time.Duration // 0: not elected in the current term
 	electedRevision uint64
-	previousTerm    uint64             // the term before this one, whose version the key was won under
-	transfer        leadershipTransfer // by a leader whose term has ended
-	firstTerm       bool               // nobody has led, and so rented, before this term
-	caughtUp        bool               // the replica has caught up with the election
+	previousTerm    uint64             // last term that was won when the campaign began
+	transfer        leadershipTransfer // received from a leader whose term has ended
+	firstTerm       bool               // no controller has led, and so rented machines, before this term
+	caughtUp        bool               // the replica includes everything written before the election
 }
 
-// IsLeader says whether this node may act as leader now.
+// IsLeader reports whether this controller may act as leader now.
 func (s *State) IsLeader() bool {
 	return s.leadership != nil && s.caughtUp && s.leadership.CanAct(s.now)
 }
 
-// term of the leader's keys: attempts, rental requests and epochs are built from it, so
-// that none is ever used twice. All stay below 2^53.
+// The numbers of epochs and task attempts consist of the term, shifted left by these
+// numbers of bits, and a counter. So no number is used twice, and all stay below 2^53.
 const (
 	fenceBits   = 20
 	attemptBits = 24
 )
 
+// epochBase returns the lowest epoch of this leader's term.
 func (s *State) epochBase() uint64 { return s.leadership.Term << fenceBits }
 
-// stepDownIfExpired ends a leadership whose entitlement has run out.
+// stepDownIfExpired ends a leadership whose right to act has expired.
 func (s *State) stepDownIfExpired() {
 	if s.leadership != nil && s.electedAt != 0 && !s.leadership.CanAct(s.now) {
 		s.leadershipExpiredAt = s.now
-		s.stepDown("entitlement ran out")
+		s.stepDown("leadership expired")
 	}
 }
 
-// stepDownIfSuperseded ends a leadership or candidacy overtaken by a higher term.
+// stepDownIfSuperseded ends a leadership or campaign if another controller has won its
+// term or a higher one.
 func (s *State) stepDownIfSuperseded() {
 	if s.leadership != nil && s.term > s.leadership.Term {
 		s.stepDown("a higher term was won")
 	}
 	if s.leadership != nil && s.electedAt == 0 && !s.keyRequestInFlight && s.term >= s.leadership.Term {
-		s.stepDown("the term was won by another")
+		s.stepDown("another controller won the term")
 	}
 }
 
+// stepDown ends this controller's leadership or campaign, if there is one.
 func (s *State) stepDown(why string) {
 	if s.leadership == nil {
 		return
@@ -72,21 +79,21 @@
 	if s.electedAt != 0 {
 		s.log(slog.LevelInfo, "stepping down", "term", term, "why", why)
 	} else {
-		s.log(slog.LevelDebug, "candidacy over", "term", term, "why", why)
+		s.log(slog.LevelDebug, "campaign ended", "term", term, "why", why)
 	}
-	// Peers need not wait out a promise that nobody relies on any more, nor
-	// the store a lease. A term that was won is never used again; one that
-	// wasn't may be, by a later life of this node, so that its release names
-	// the life that it is from.
-	life := s.cfg.Incarnation
+	// The promises and the lease are released early, because this controller no
+	// longer relies on them. A term that was won is never used again, so its release
+	// is valid for every incarnation (0). A term that was not won may be used again
+	// after a restart, so its release names this incarnation.
+	incarnation := s.cfg.Incarnation
 	if s.electedAt != 0 {
-		life = 0
+		incarnation = 0
 	}
 	if s.caughtUp {
 		s.transferLeadership(term)
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgRelease, Term: term, Ask: life}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgRelease, Term: term, Ask: incarnation}})
 	}
 	s.voter.Release(s.cfg.Self, term)
 	if s.leaseID != 0 {
@@ -107,12 +114,12 @@
 	s.fleetState = fleetState{}
 }
 
-// currentLeader is the node that leads as far as this one knows.
+// currentLeader returns the name of the leader as far as this controller knows, or "".
 func (s *State) currentLeader() string {
 	if s.leadership != nil && s.electedAt != 0 {
 		return s.cfg.Self
 	}
-	if node, bound := s.voter.PromisedTo(s.now); bound && node != s.cfg.Self {
+	if node, inForce := s.voter.PromisedTo(s.now); inForce && node != s.cfg.Self {
 		return node
 	}
 	if s.leaderNode != s.cfg.Self {
@@ -121,8 +128,8 @@
 	return ""
 }
 
-// IsLeaderAt says whether this node may act as leader at now. It changes
-// nothing: a test can ask without ending what has lapsed.
+// IsLeaderAt reports whether this controller may act as leader at now. It changes
+// nothing, so that a test can call it without ending an expired leadership.
 func (s *State) IsLeaderAt(now time.Duration) bool {
 	return s.leadership != nil && s.caughtUp && s.electedAt != 0 && now < s.leadership.ValidUntil()
 }
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -2,10 +2,8 @@
 
 import "slices"
 
-// What a leader does to stay one, and when it lets go.
-
-// maintainLeadership renews promises and key, and gives the term up when another node
-// could serve and this one can't.
+// maintainLeadership renews the promises and the leader key. It steps down when another
+// controller could lead and this one cannot serve.
 func (s *State) maintainLeadership() {
 	if s.now >= s.requestVotesAt {
 		s.requestVotes(s.electionConfig.PromiseDuration / 4)
@@ -17,8 +15,9 @@
 		return
 	}
 	if s.sinceStoreContact() > s.storeContactTimeout() {
-		// Cut off from the store while a peer reaches it: that peer refuses
-		// its promise. Without waiting for the promise to run out, let go.
+		// This leader is cut off from the state service. A peer that reaches it
+		// refuses to renew its promise, so this leader steps down without waiting
+		// for the promises to expire.
 		for _, p := range s.peers {
 			if p.reachesStore && s.now-p.heardAt < s.electionConfig.PromiseDuration/2 && p.refusedForStoreAt > s.now-s.electionConfig.PromiseDuration/2 {
 				s.noCampaignUntil = s.now + s.electionConfig.PromiseDuration
@@ -35,15 +34,16 @@
 	}
 }
 
-// isCutFromWorkers says whether reports have stopped coming though machines
-// should be there. A worker waits 4 s for an answer and then 1 s more before
-// it turns to the next node, so there is no time to wait until one has
-// complained elsewhere: with a peer at hand the term is given up, and a
-// successor stands ready when they come. If it is the machines that are gone,
-// they lapse and nothing further happens.
+// isCutFromWorkers reports whether no worker's report has arrived for a third of a
+// lease, though there are machines that should report, and a peer could lead instead.
+// A worker waits 4 s for an answer and then 1 s more before it turns to the next
+// controller. There is no time to wait until a worker has reported to another
+// controller: the leader steps down early, so that a successor is ready when the
+// workers turn to it. If the machines themselves are gone, their leases expire and
+// stepping down does no further harm.
 func (s *State) isCutFromWorkers() bool {
-	quiet := s.cfg.Lease / 3
-	if s.now-s.lastReportAt < quiet || s.now-s.electedAt < 2*quiet {
+	timeout := s.cfg.Lease / 3
+	if s.now-s.lastReportAt < timeout || s.now-s.electedAt < 2*timeout {
 		return false
 	}
 	if !slices.ContainsFunc(s.machinesByName, func(m *machine) bool { return m.reconciled }) {
@@ -57,23 +57,24 @@
 	return false
 }
 
+// renewKey renews the lease of the leader key.
 func (s *State) renewKey() {
-	t, sent, leaseID := s.leadership, s.now, s.leaseID
+	leadership, sentAt, leaseID := s.leadership, s.now, s.leaseID
 	s.renewalInFlight = true
 	s.renewAt = s.now + s.electionConfig.KeyTTL/4
-	// The answer tells of the sending: late, it is still worth what is left of the
-	// key's life. Given up after a second, no renewal of a leader that was short
-	// of processor time counted, and it lost its term.
-	s.callStore(StoreCall{Op: StoreRenew, Lease: leaseID, Timeout: s.electionConfig.KeyTTL * 3 / 4}, func(d StoreResult) {
-		if s.leadership != t {
+	// A renewal counts from its sending, so a late answer still covers the rest of
+	// the key's TTL. With a timeout of one second, a leader that is short of CPU
+	// time gets no renewal in time and loses its term.
+	s.callStore(StoreCall{Op: StoreRenew, Lease: leaseID, Timeout: s.electionConfig.KeyTTL * 3 / 4}, func(result StoreResult) {
+		if s.leadership != leadership {
 			return
 		}
 		s.renewalInFlight = false
-		switch d.Status {
+		switch result.Status {
 		case 200:
-			t.RecordRenewal(s.now, sent)
+			leadership.RecordRenewal(s.now, sentAt)
 		case 404:
-			t.RecordKeyLoss()
+			leadership.RecordKeyLoss()
 			s.recreateKey()
 		default:
 			s.renewAt = s.now + s.electionConfig.KeyTTL/10
@@ -81,40 +82,40 @@
 	})
 }
 
-// recreateKey sets the leader key again after a lease that ended while promises
-// carried the leader on. The guard on the term keeps it from succeeding once
-// another has been elected. Only a key that is known to be set counts: a new
-// lease that was kept up without one made the leader believe that nobody else
-// could be elected.
+// recreateKey creates the leader key again, after its lease ended while promises kept
+// the leadership valid. The precondition on the term key makes it fail once another
+// controller has been elected. The new lease counts only when the key is known to
+// exist under it: a leader that renewed a lease without the key would wrongly believe
+// that no other controller can be elected.
 func (s *State) recreateKey() {
-	t, sent := s.leadership, s.now
+	leadership, leaseRequestedAt := s.leadership, s.now
 	s.renewalInFlight = true
-	s.callStore(StoreCall{Op: StoreLease, TTL: s.electionConfig.KeyTTL}, func(d StoreResult) {
-		if s.leadership != t {
+	s.callStore(StoreCall{Op: StoreLease, TTL: s.electionConfig.KeyTTL}, func(result StoreResult) {
+		if s.leadership != leadership {
 			return
 		}
 		s.renewalInFlight = false
-		if d.Status != 200 {
+		if result.Status != 200 {
 			return
 		}
 		s.renewalInFlight = true
-		leaseID, own := d.Lease, uint64(0)
-		if s.leaderTerm == t.Term && s.leaderNode == s.cfg.Self {
-			own = s.leaderModRevision // set by an earlier try whose answer was lost
+		leaseID, ownModRevision := result.Lease, uint64(0)
+		if s.leaderTerm == leadership.Term && s.leaderNode == s.cfg.Self {
+			ownModRevision = s.leaderModRevision // created by an earlier attempt whose answer was lost
 		}
 		s.callStore(StoreCall{
 			Op:            StoreTxn,
-			Preconditions: []Precondition{{keyTerm, s.termModRevision}, {keyLeader, own}},
-			Changes:       []Change{{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, t.Term, leaseID}), Lease: leaseID}},
-		}, func(d StoreResult) {
-			if s.leadership != t {
+			Preconditions: []Precondition{{keyTerm, s.termModRevision}, {keyLeader, ownModRevision}},
+			Changes:       []Change{{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, leadership.Term, leaseID}), Lease: leaseID}},
+		}, func(result StoreResult) {
+			if s.leadership != leadership {
 				return
 			}
 			s.renewalInFlight = false
-			if d.Status == 200 {
+			if result.Status == 200 {
 				s.leaseID = leaseID
-				t.RecordRenewal(s.now, sent)
-				s.apply(Item{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, t.Term, leaseID}), ModRevision: d.Revision})
+				leadership.RecordRenewal(s.now, leaseRequestedAt)
+				s.apply(Item{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, leadership.Term, leaseID}), ModRevision: result.Revision})
 			}
 		})
 	})
