--- a/internal/core/forward.go
+++ b/internal/core/forward.go
@@ -7,23 +7,24 @@
 	"mulleinfall/internal/model"
 )
 
-// Requests that a peer serves, because this node has lost the state service.
+// A controller that has lost the state service forwards users' requests to a peer.
 
-// requester is who asked: a user's request here, or one that a peer passes on
-// because it doesn't reach the state service.
+// requester identifies where a request came from and where its reply goes: a user of
+// this controller (requestID), or a peer that has forwarded a user's request because it
+// does not reach the state service (peer and forwardID).
 type requester struct {
 	requestID uint64
 	peer      string
 	forwardID uint64
 }
 
-// forwardedRequest is a request passed on to a peer.
+// forwardedRequest is a user's request that was forwarded to a peer.
 type forwardedRequest struct {
 	requester requester
 	deadline  time.Duration
 }
 
-// notifyPeers tells the other nodes of a change that is durable, ahead of the
+// notifyPeers sends a durable change to the peers, which get it earlier than by their
 // watch. A late copy is older than what they know and changes nothing.
 func (s *State) notifyPeers(key string, value []byte) {
 	for _, p := range s.cfg.Peers {
@@ -31,59 +32,62 @@
 	}
 }
 
-// forwardToPeer hands a user's request to a peer that reaches the state service. One
-// hop only. It may follow a try of our own whose outcome isn't known: the
-// change is the same and guarded, so that it is made once.
-func (s *State) forwardToPeer(o requester, verb, id string, value []byte, wall int64) bool {
-	if o.peer != "" {
+// forwardToPeer forwards a user's request to a peer that reaches the state service, and
+// reports whether there was one. A request is forwarded only once. This controller may
+// have tried the same change before without learning the outcome. That is safe: the
+// preconditions ensure that the change is made only once.
+func (s *State) forwardToPeer(from requester, verb, id string, value []byte, wallMs int64) bool {
+	if from.peer != "" {
 		return false
 	}
 	for _, name := range s.cfg.Peers {
-		p := s.peers[name]
-		if !p.reachesStore || s.now-p.heardAt > s.electionConfig.PromiseDuration {
+		peer := s.peers[name]
+		if !peer.reachesStore || s.now-peer.heardAt > s.electionConfig.PromiseDuration {
 			continue
 		}
 		s.userRequests.forwardSeq++
-		s.forwarded[s.userRequests.forwardSeq] = &forwardedRequest{o, s.now + userRequestTimeout}
-		s.emit(PeerOut{name, PeerMsg{Kind: MsgForward, Ask: s.userRequests.forwardSeq, Verb: verb, Key: id, Value: value, Wall: wall}})
+		s.forwarded[s.userRequests.forwardSeq] = &forwardedRequest{from, s.now + userRequestTimeout}
+		s.emit(PeerOut{name, PeerMsg{Kind: MsgForward, Ask: s.userRequests.forwardSeq, Verb: verb, Key: id, Value: value, Wall: wallMs}})
 		return true
 	}
 	return false
 }
 
+// expireForwards asks the users whose forwarded requests have timed out to retry later.
 func (s *State) expireForwards() {
 	for _, id := range sortedKeys(s.forwarded) {
-		a := s.forwarded[id]
-		if s.now >= a.deadline {
+		request := s.forwarded[id]
+		if s.now >= request.deadline {
 			delete(s.forwarded, id)
-			s.replyRetryLater(a.requester, "no answer from a peer")
+			s.replyRetryLater(request.requester, "no answer from a peer")
 		}
 	}
 }
 
-// handleForward serves a request that a peer passes on.
-func (s *State) handleForward(from string, m PeerMsg) {
-	o := requester{peer: from, forwardID: m.Ask}
-	switch m.Verb {
+// handleForward serves a request that a peer has forwarded.
+func (s *State) handleForward(peer string, message PeerMsg) {
+	from := requester{peer: peer, forwardID: message.Ask}
+	switch message.Verb {
 	case "submit":
 		var spec model.Job
-		if err := json.Unmarshal(m.Value, &spec); err != nil {
-			s.replyRetryLater(o, "garbled")
+		if err := json.Unmarshal(message.Value, &spec); err != nil {
+			s.replyRetryLater(from, "garbled")
 			return
 		}
-		s.submit(o, spec, m.Wall)
+		s.submit(from, spec, message.Wall)
 	case "poll":
-		s.poll(o, m.Key)
+		s.poll(from, message.Key)
 	case "withdraw":
-		s.cancel(o, m.Key)
+		s.cancel(from, message.Key)
 	}
 }
 
-func (s *State) handleForwardReply(m PeerMsg) {
-	a := s.forwarded[m.Ask]
-	if a == nil {
+// handleForwardReply passes a peer's reply to the user who made the request.
+func (s *State) handleForwardReply(message PeerMsg) {
+	request := s.forwarded[message.Ask]
+	if request == nil {
 		return
 	}
-	delete(s.forwarded, m.Ask)
-	s.replyToUser(a.requester, m.Status, json.RawMessage(m.Value), m.Retry)
+	delete(s.forwarded, message.Ask)
+	s.replyToUser(request.requester, message.Status, json.RawMessage(message.Value), message.Retry)
 }
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -40,8 +40,9 @@
 	return s.leadership != nil && s.caughtUp && s.leadership.CanAct(s.now)
 }
 
-// The numbers of epochs and task attempts consist of the term, shifted left by these
-// numbers of bits, and a counter. So no number is used twice, and all stay below 2^53.
+// Epochs, task attempts and rental requests are identified by the term and a counter,
+// so that none is used twice. In epochs and attempts the term is shifted left by these
+// numbers of bits. All stay below 2^53.
 const (
 	fenceBits   = 20
 	attemptBits = 24
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Messages between controllers.
+// This file defines the messages between controllers.
 
-// PeerIn is a message from another controller, PeerOut one to it.
+// PeerIn is a message that has arrived from another controller.
 type PeerIn struct {
 	From string
 	Msg  PeerMsg
 }
 
-// PeerOut sends a message to another controller, or drops it.
+// PeerOut is a message to send to another controller. It may be lost.
 type PeerOut struct {
 	To  string
 	Msg PeerMsg
@@ -18,29 +18,30 @@
 
 // Kinds of messages between controllers.
 const (
-	MsgRestarted          = "hello"      // a fresh process asks whether its earlier life is still counted on
-	MsgPromisesReleased   = "free"       // answers that it isn't
+	MsgRestarted          = "hello"      // a new process asks whether the receiver relies on promises of its previous incarnation
+	MsgPromisesReleased   = "free"       // the answer that it does not
 	MsgVoteRequest        = "claim"      // asks for a promise
-	MsgPromise            = "promise"    // answers it
-	MsgRelease            = "release"    // gives a term up
+	MsgPromise            = "promise"    // the answer: a promise or a refusal
+	MsgRelease            = "release"    // the sender no longer relies on promises for a term
 	MsgChange             = "nudge"      // a change that the sender has made durable
-	MsgRunningCounts      = "counts"     // running tasks per job, for display
+	MsgRunningCounts      = "counts"     // number of running tasks per job, for replies to users
 	MsgCancelled          = "cancelled"  // cancellations that the receiver may not know of
-	MsgCancelledAck       = "known"      // a leader's acknowledgement of them
-	MsgLeadershipTransfer = "unanswered" // machines that a leader had not answered lately when its term ended
-	MsgForward            = "ask"        // a user's request, from a node without the store
-	MsgForwardReply       = "answer"
+	MsgCancelledAck       = "known"      // a leader's acknowledgement of cancellations
+	MsgLeadershipTransfer = "unanswered" // machines that a leader had not replied to recently when its term ended
+	MsgForward            = "ask"        // a user's request, from a controller that has lost the state service
+	MsgForwardReply       = "answer"     // the reply to a forwarded request
 )
 
-// PeerMsg is a message between controllers. Sent is the asker's own clock and
-// comes back in the answer; so does Ask, which for claims and what follows from
-// them is the asker's life (Config.Boot).
+// PeerMsg is a message between controllers. Sent is a time of the requester's own clock
+// and is returned in the answer. So is Ask, which identifies a forwarded request. In
+// vote requests, their answers, releases and announcements of a restart, Ask is the
+// incarnation of the requester (Config.Incarnation).
 type PeerMsg struct {
 	Kind     string         `msgpack:"k"`
 	Term     uint64         `msgpack:"t,omitempty"`
 	Sent     time.Duration  `msgpack:"s,omitempty"`
 	Granted  bool           `msgpack:"g,omitempty"`
-	Cut      bool           `msgpack:"x,omitempty"` // refused: the claimant has lost the state service
+	Cut      bool           `msgpack:"x,omitempty"` // refused because the requester has lost the state service
 	StoreOK  bool           `msgpack:"o,omitempty"`
 	StoreAge time.Duration  `msgpack:"a,omitempty"`
 	Top      uint64         `msgpack:"p,omitempty"`
@@ -53,9 +54,9 @@
 	Wall     int64          `msgpack:"wl,omitempty"`
 	Status   int            `msgpack:"code,omitempty"`
 	Retry    int            `msgpack:"ra,omitempty"`
-	Version  int            `msgpack:"fm,omitempty"` // the newest that the sender knows
-	Rev      uint64         `msgpack:"rv,omitempty"` // a leader's: it knows of all changes up to here
-	Read     bool           `msgpack:"rl,omitempty"` // a read lease is asked for, or granted
-	Loaded   bool           `msgpack:"ld,omitempty"` // its grantor has read all since its start
-	Age      time.Duration  `msgpack:"ag,omitempty"` // of the grantor's process
+	Version  int            `msgpack:"fm,omitempty"` // newest version that the sender knows
+	Rev      uint64         `msgpack:"rv,omitempty"` // from a leader: it knows all changes up to this revision
+	Read     bool           `msgpack:"rl,omitempty"` // a read lease is requested or granted
+	Loaded   bool           `msgpack:"ld,omitempty"` // the grantor has read the whole state since its start
+	Age      time.Duration  `msgpack:"ag,omitempty"` // time since the start of the grantor's process
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -5,142 +5,145 @@
 	"time"
 )
 
-// Messages from other controllers.
+// This file handles messages from other controllers.
 
+// peerState is what this controller knows about a peer.
 type peerState struct {
-	reachesStore      bool
-	heardAt           time.Duration
-	refusedForStoreAt time.Duration
+	reachesStore      bool          // the peer reaches the state service, as it last said
+	heardAt           time.Duration // when it last requested a vote or answered a vote request
+	refusedForStoreAt time.Duration // when it last refused a promise because this controller had lost the state service
 
-	refusedTerm         uint64
-	highestTerm         uint64 // highest term that the peer knows of
-	version             int    // the newest that it knows, by its last word or note
-	versionStored       bool   // the state service holds its note of that
-	promisedIncarnation uint64 // of the peer, that this node last promised support to
-	releasedOurPromises bool   // has said that it counts on no promise of our earlier life
+	refusedTerm         uint64 // last term in which it refused a promise
+	highestTerm         uint64 // highest term that it knows of
+	version             int    // newest version that it knows, by its last message or stored version
+	versionStored       bool   // its version is stored in the state service
+	promisedIncarnation uint64 // incarnation of the peer to which this controller last gave a promise
+	releasedOurPromises bool   // it relies on no promise of this controller's previous incarnation
 }
 
-// handlePeerMessage takes a message from another controller.
-func (s *State) handlePeerMessage(from string, m PeerMsg) {
-	p := s.peers[from]
-	if p == nil {
+// handlePeerMessage handles a message from another controller.
+func (s *State) handlePeerMessage(from string, message PeerMsg) {
+	peer := s.peers[from]
+	if peer == nil {
 		return
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case MsgRestarted:
-		s.handlePeerRestart(from, m)
+		s.handlePeerRestart(from, message)
 	case MsgPromisesReleased:
-		// Only an answer to this life's question counts.
-		if m.Ask == s.cfg.Incarnation {
-			s.handlePromisesReleased(p)
+		// Only an answer to this incarnation's announcement counts.
+		if message.Ask == s.cfg.Incarnation {
+			s.handlePromisesReleased(peer)
 		}
 	case MsgVoteRequest:
-		s.handleVoteRequest(from, p, m)
+		s.handleVoteRequest(from, peer, message)
 	case MsgPromise:
-		s.handlePromise(from, p, m)
+		s.handlePromise(from, peer, message)
 	case MsgRelease:
-		if m.Ask == 0 || m.Ask == p.promisedIncarnation {
-			s.voter.Release(from, m.Term)
+		if message.Ask == 0 || message.Ask == peer.promisedIncarnation {
+			s.voter.Release(from, message.Term)
 		}
 	case MsgCancelled:
-		s.learnCancellations(from, m.Counts)
+		s.learnCancellations(from, message.Counts)
 	case MsgCancelledAck:
-		s.handleAcknowledgement(m)
+		s.handleAcknowledgement(message)
 	case MsgLeadershipTransfer:
-		s.handleTransfer(m)
+		s.handleTransfer(message)
 	case MsgChange:
-		s.apply(Item{Key: m.Key, Value: m.Value, ModRevision: m.Stamp})
+		s.apply(Item{Key: message.Key, Value: message.Value, ModRevision: message.Stamp})
 	case MsgRunningCounts:
-		s.applyRunningCounts(m.Counts)
+		s.applyRunningCounts(message.Counts)
 	case MsgForward:
-		s.handleForward(from, m)
+		s.handleForward(from, message)
 	case MsgForwardReply:
-		s.handleForwardReply(m)
+		s.handleForwardReply(message)
 	}
 }
 
-// handlePeerRestart answers a controller that has just started, unless this one
-// counts on a promise of its earlier life.
-func (s *State) handlePeerRestart(from string, m PeerMsg) {
+// handlePeerRestart releases a controller that has just started from the promises of
+// its previous incarnation, unless this controller may rely on one.
+func (s *State) handlePeerRestart(from string, message PeerMsg) {
 	if s.leadership != nil && (s.electedAt != 0 || s.keyRequestInFlight) {
-		return // it is counted on, perhaps: let it sleep
+		return // this controller may rely on such a promise, so the peer must wait
 	}
 	if s.leadership != nil {
-		// Promises that are still on their way here die with the
-		// candidacy that asked for them.
-		s.stepDown("a supporter has started anew")
+		// Promises that are still on their way here are void with the campaign
+		// that requested them.
+		s.stepDown("a voter has restarted")
 	}
-	s.emit(PeerOut{from, PeerMsg{Kind: MsgPromisesReleased, Ask: m.Ask}})
+	s.emit(PeerOut{from, PeerMsg{Kind: MsgPromisesReleased, Ask: message.Ask}})
 }
 
 // handleVoteRequest answers a candidate or a leader that asks for a promise.
-func (s *State) handleVoteRequest(from string, p *peerState, m PeerMsg) {
-	p.reachesStore, p.heardAt = m.StoreOK, s.now
-	s.handlePeerVersion(from, m.Version)
-	if m.Rev != 0 && m.Term >= s.term {
-		s.acknowledgeUpTo(m.Rev)
+func (s *State) handleVoteRequest(from string, peer *peerState, request PeerMsg) {
+	peer.reachesStore, peer.heardAt = request.StoreOK, s.now
+	s.handlePeerVersion(from, request.Version)
+	if request.Rev != 0 && request.Term >= s.term {
+		s.acknowledgeUpTo(request.Rev)
 	}
-	cut := s.onlyRequesterLostStore(m)
-	if cut {
-		s.log(slog.LevelInfo, "refusing support to a leader without the state service", "leader", from, "term", m.Term, "its_age", m.StoreAge, "own_age", s.sinceStoreContact())
+	requesterLostStore := s.onlyRequesterLostStore(request)
+	if requesterLostStore {
+		s.log(slog.LevelInfo, "refusing support to a leader without the state service", "leader", from, "term", request.Term, "its_age", request.StoreAge, "own_age", s.sinceStoreContact())
 	}
-	if s.yieldsToCandidate(from, m, cut) {
+	if s.yieldsToCandidate(from, request, requesterLostStore) {
 		s.stepDown("another candidate goes first")
 	}
-	s.preapprove(from, m.Term, m.Stamp)
-	granted := !cut && m.Term >= s.term && s.voter.Grant(s.now, from, m.Term)
-	reply := PeerMsg{Kind: MsgPromise, Ask: m.Ask, Version: s.cfg.Version, Term: m.Term, Sent: m.Sent, Granted: granted, Cut: cut,
+	s.preapprove(from, request.Term, request.Stamp)
+	granted := !requesterLostStore && request.Term >= s.term && s.voter.Grant(s.now, from, request.Term)
+	reply := PeerMsg{Kind: MsgPromise, Ask: request.Ask, Version: s.cfg.Version, Term: request.Term, Sent: request.Sent, Granted: granted, Cut: requesterLostStore,
 		StoreOK: s.isStoreReachable(), Top: max(s.term, s.voter.HighestTerm())}
 	if granted {
-		p.promisedIncarnation = m.Ask
-		s.grantReadLease(m, &reply)
+		peer.promisedIncarnation = request.Ask
+		s.grantReadLease(request, &reply)
 	}
 	s.emit(PeerOut{from, reply})
 }
 
-// onlyRequesterLostStore says whether the asker has lost the state service and this
-// node has not.
-func (s *State) onlyRequesterLostStore(m PeerMsg) bool {
-	gap := s.storeContactTimeout()
-	return m.StoreAge > gap && s.sinceStoreContact() < gap/2 && s.lastContactAt-s.contactSince > gap/2
+// onlyRequesterLostStore reports whether the requester has lost the state service while
+// this controller has reached it for some time.
+func (s *State) onlyRequesterLostStore(request PeerMsg) bool {
+	timeout := s.storeContactTimeout()
+	return request.StoreAge > timeout && s.sinceStoreContact() < timeout/2 && s.lastContactAt-s.contactSince > timeout/2
 }
 
-// yieldsToCandidate says whether this node's candidacy gives way to another's: each
-// bound to itself, two candidates would wait for one another's promises until
-// both give up.
-func (s *State) yieldsToCandidate(from string, m PeerMsg, cut bool) bool {
-	if s.leadership == nil || s.electedAt != 0 || s.keyRequestInFlight || cut || !m.StoreOK {
+// yieldsToCandidate reports whether this controller's campaign gives way to another's.
+// Without that, two candidates that are each bound by their promise to themselves would
+// wait for each other's promises until both give up.
+func (s *State) yieldsToCandidate(from string, request PeerMsg, requesterLostStore bool) bool {
+	if s.leadership == nil || s.electedAt != 0 || s.keyRequestInFlight || requesterLostStore || !request.StoreOK {
 		return false
 	}
-	return m.Term > s.leadership.Term || m.Term == s.leadership.Term && from < s.cfg.Self
+	return request.Term > s.leadership.Term || request.Term == s.leadership.Term && from < s.cfg.Self
 }
 
-// handlePromise takes the answer to a request for a vote.
-func (s *State) handlePromise(from string, p *peerState, m PeerMsg) {
-	p.reachesStore, p.heardAt, p.highestTerm = m.StoreOK, s.now, m.Top
-	s.handlePeerVersion(from, m.Version)
-	if s.leadership == nil || s.leadership.Term != m.Term || m.Ask != s.cfg.Incarnation {
-		// A late answer to an earlier life tells the time of another clock:
-		// counted, it would support this one for as long as that had run.
+// handlePromise handles the answer to a request for a vote.
+func (s *State) handlePromise(from string, peer *peerState, answer PeerMsg) {
+	peer.reachesStore, peer.heardAt, peer.highestTerm = answer.StoreOK, s.now, answer.Top
+	s.handlePeerVersion(from, answer.Version)
+	if s.leadership == nil || s.leadership.Term != answer.Term || answer.Ask != s.cfg.Incarnation {
+		// In a late answer to the previous incarnation, Sent is a time of that
+		// process's clock. If it counted, the promise could seem valid for as long
+		// as that process had run.
 		return
 	}
 	switch {
-	case m.Granted:
-		s.leadership.RecordPromise(s.now, from, m.Sent)
-		s.applyReadLease(from, m)
+	case answer.Granted:
+		s.leadership.RecordPromise(s.now, from, answer.Sent)
+		s.applyReadLease(from, answer)
 		if s.electedAt == 0 {
 			s.advanceCampaign()
 		}
-	case m.Cut:
-		// Only this kind of refusal: a peer that is bound to another for
-		// a while says nothing about the state service.
-		p.refusedForStoreAt = s.now
+	case answer.Cut:
+		// Only this kind of refusal is recorded: a peer that refuses because of
+		// another promise says nothing about the state service.
+		peer.refusedForStoreAt = s.now
 	case s.electedAt == 0 && !s.keyRequestInFlight:
-		s.recordVoteRefusal(p)
+		s.recordVoteRefusal(peer)
 	}
 }
 
-// applyRunningCounts takes the numbers of running tasks from the leader, for display.
+// applyRunningCounts applies the leader's numbers of running tasks, which replies to
+// users show.
 func (s *State) applyRunningCounts(counts map[string]int) {
 	for id, n := range counts {
 		if j := s.active[id]; j != nil {
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -2,11 +2,12 @@
 
 import "log/slog"
 
-// What a controller that has just started has forgotten of its earlier life.
+// A controller that has just started has forgotten the promises that its previous
+// incarnation gave.
 
-// announceRestart asks the peers, after a start, to free this node from promises of an
-// earlier life. Waiting them out would cost the workers a part of their lease
-// after all controllers have crashed.
+// announceRestart asks the peers, after a start, to release this controller from
+// promises of its previous incarnation. If it waited until these expire, the workers
+// would lose a part of their lease when all controllers have crashed.
 func (s *State) announceRestart() {
 	if s.voter.CanPromise(s.now) || s.now < s.announceRestartAt {
 		return
@@ -19,38 +20,40 @@
 	}
 }
 
-// handlePromisesReleased notes a peer's answer to hello.
-func (s *State) handlePromisesReleased(p *peerState) {
-	p.releasedOurPromises = true
-	for _, o := range s.peers {
-		if !o.releasedOurPromises {
+// handlePromisesReleased records that a peer relies on no promise of the previous
+// incarnation. The startup wait ends once all peers have said so.
+func (s *State) handlePromisesReleased(peer *peerState) {
+	peer.releasedOurPromises = true
+	for _, other := range s.peers {
+		if !other.releasedOurPromises {
 			return
 		}
 	}
 	if !s.voter.CanPromise(s.now) {
-		s.log(slog.LevelInfo, "no promise of an earlier life is counted on")
+		s.log(slog.LevelInfo, "startup wait over: no peer relies on an earlier promise")
 		s.voter.EndStartupWait()
 	}
 }
 
-// preapprove lets this node support a candidate though it has just started and
-// has forgotten its promises. Waiting them out cost the workers a fifth of
-// their lease after a crash, while another controller was out of reach and
-// couldn't say that it counts on none of them. See the package election for
-// why the conditions suffice: the term's version was read since the start, and
-// its holder is this node's own earlier life or has said that it is free.
-func (s *State) preapprove(node string, term, stamp uint64) {
-	if s.voter.CanPromise(s.now) || !s.loaded || stamp != s.termModRevision {
+// preapprove lets this controller support a candidate during its startup wait. Without
+// that, the workers lose a fifth of their lease after a crash while another controller
+// is unreachable and cannot release the earlier promises. The conditions are explained
+// in the package election: this process has read the modification revision of the term
+// key since its start, and the holder of that term is this controller's own previous
+// incarnation or has said that it relies on no earlier promise.
+func (s *State) preapprove(node string, term, termModRevision uint64) {
+	if s.voter.CanPromise(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
 	}
-	if p := s.peers[s.termWinner]; s.termModRevision == 0 || s.termWinner == s.cfg.Self || p != nil && p.releasedOurPromises {
+	if holder := s.peers[s.termWinner]; s.termModRevision == 0 || s.termWinner == s.cfg.Self || holder != nil && holder.releasedOurPromises {
 		s.voter.Preapprove(node, term)
 	}
 }
 
-// releasePreviousIncarnation ends at once what is left of a leadership that this node had
-// before it started anew: its key, and the promises given to it. Nobody acts
-// on them any more, and waiting them out would cost the workers their leases.
+// releasePreviousIncarnation ends what is left of a leadership that this controller had
+// before it restarted: the leader key and the promises to it. No process acts on them
+// any more, and if the others waited for their expiry, the workers would lose their
+// leases.
 func (s *State) releasePreviousIncarnation() {
 	if s.leaderNode != s.cfg.Self || s.leadership != nil {
 		return
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// A leader that gives its term up while it can still speak tells the others
-// which machines it has not answered lately, and for how long. Its successor
-// would otherwise have to count their leases from its own election: with a zone
-// cut off, and a leader that lost the state service before it could mark the
-// zone's machines, their replicas were down for the whole of a term more.
+// A leader that steps down tells its peers which machines it has not replied to
+// recently, and for how long. Without that, its successor has to count those machines'
+// leases from its own election. When a zone is cut off and the leader loses the state
+// service before it can mark the zone's machines as unresponsive, their services would
+// then stay down for a further lease.
 
-// leadershipTransfer is what a leader has said of the machines when its term was over.
+// leadershipTransfer is what a leader reported about its machines when its term ended.
 type leadershipTransfer struct {
 	term         uint64
-	receivedAt   time.Duration  // of its receipt: later than it was said, never earlier
-	sinceReplyMs map[string]int // ms since each was last answered
+	receivedAt   time.Duration  // when the message arrived, which is never before it was sent
+	sinceReplyMs map[string]int // by machine: milliseconds since the last reply to it
 }
 
-// transferLeadership tells the peers, once this term has ended for good.
+// transferLeadership sends the peers that report, once this term has ended for good.
 func (s *State) transferLeadership(term uint64) {
-	ages := map[string]int{}
+	sinceReplyMs := map[string]int{}
 	for _, m := range s.machinesByName {
-		if ago := s.now - m.lastReplyAt; m.registered && ago > s.cfg.ReportInterval {
-			ages[m.host] = int(ago / time.Millisecond)
+		if sinceReply := s.now - m.lastReplyAt; m.registered && sinceReply > s.cfg.ReportInterval {
+			sinceReplyMs[m.host] = int(sinceReply / time.Millisecond)
 		}
 	}
-	if len(ages) == 0 {
+	if len(sinceReplyMs) == 0 {
 		return
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgLeadershipTransfer, Term: term, Counts: ages}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgLeadershipTransfer, Term: term, Counts: sinceReplyMs}})
 	}
 }
 
-// handleTransfer takes that in. It may come before this node is elected, or after.
+// handleTransfer applies a former leader's report. It may arrive before or after this
+// controller's own election.
 func (s *State) handleTransfer(m PeerMsg) {
 	if m.Term <= s.transfer.term {
-		return // a copy, which tells a later time of the same; or of a term before
+		// It is of an earlier term, or a late copy, whose times would count from
+		// its own arrival and so be too late.
+		return
 	}
 	s.transfer = leadershipTransfer{m.Term, s.now, m.Counts}
 	if !s.IsLeader() {
@@ -47,9 +50,9 @@
 	}
 }
 
-// transferredReplyAt is when m was last answered, as far as the leader before this one
-// has said. What an earlier one has said is of no use: the one between may have
-// answered m since.
+// transferredReplyAt returns when the previous leader last replied to m, if it has
+// reported that. A report of an earlier leader does not count: the leaders in between
+// may have replied to m since.
 func (s *State) transferredReplyAt(m *machine) (time.Duration, bool) {
 	ms, ok := s.transfer.sinceReplyMs[m.host]
 	return s.transfer.receivedAt - time.Duration(ms)*time.Millisecond, ok && s.transfer.term == s.previousTerm
