--- a/internal/core/externalcalls.go
+++ b/internal/core/externalcalls.go
@@ -6,12 +6,12 @@
 	"mulleinfall/internal/model"
 )
 
-// Calls to the cloud and the workers, and their ends.
+// This file defines the calls to the cloud and to workers, and their results.
 
-// CloudOp names a call to the cloud.
+// CloudOp is the kind of a call to the cloud.
 type CloudOp string
 
-// Calls to the cloud.
+// Kinds of calls to the cloud.
 const (
 	CloudTypes  CloudOp = "types"
 	CloudList   CloudOp = "list"
@@ -23,17 +23,18 @@
 type CloudCall struct {
 	CallID  uint64
 	Op      CloudOp
-	Request string // rent: its name, never reused
+	Request string // rent: name of the rental request, never used twice
 	Type    string
 	Zone    string
 	Spot    bool
 	Count   int
 	Hosts   []string
-	After   string
-	Limit   int
+	After   string // list: start after this host
+	Limit   int    // list: maximum number of machines
 }
 
-// CloudResult ends a CloudCall.
+// CloudResult is the result of a CloudCall. Status 0 means that the outcome is
+// unknown, as without an answer.
 type CloudResult struct {
 	CallID uint64
 	Status int
@@ -41,10 +42,11 @@
 	Types  []model.MachineType
 	Hosts  []string
 	Listed []model.ListedMachine
-	More   bool
+	More   bool // list: there are further machines
 }
 
-// AgentCall is a direct command to a worker.
+// AgentCall is a direct command to a worker. Orders may be empty: the worker then only
+// answers with its report.
 type AgentCall struct {
 	CallID     uint64
 	Host       string
@@ -52,10 +54,11 @@
 	Epoch      uint64
 	Session    uint64
 	Orders     []model.Order
-	SendBefore time.Duration // not sent at or after this time
+	SendBefore time.Duration // the command is sent only before this time
 }
 
-// AgentResult ends an AgentCall.
+// AgentResult is the result of an AgentCall. Status 0 means that the outcome is
+// unknown, as without an answer.
 type AgentResult struct {
 	CallID uint64
 	Status int
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -8,88 +8,91 @@
 	"time"
 )
 
-// registryState is the leader's view of the roster.
+// The machine registry lists the machines in the state service. Its keys are pages, which
+// hold many machines each.
+
+// registryState is the leader's view of the registry.
 type registryState struct {
 	pages           map[int]*registryPage
-	nextPageWriteAt time.Duration // pages are written again; not before
-	// nextUnresponsiveCheckAt is when machines are next looked at for their silence.
+	nextPageWriteAt time.Duration // when changed pages may be written next
+	// nextUnresponsiveCheckAt is when machines are next checked for missing replies.
 	nextUnresponsiveCheckAt time.Duration
 }
 
-// machineRecord is a machine in the state service: written before the machine
-// is given its first task, so that a successor knows whom to ask.
+// machineRecord is a machine's entry in the registry. It is written before the machine
+// gets its first task, so that a successor knows which machines to query.
 type machineRecord struct {
 	Endpoint    string `json:"endpoint"`
 	Type        string `json:"type"`
 	Zone        string `json:"zone"`
 	Spot        bool   `json:"spot,omitempty"`
 	Preexisting bool   `json:"standing,omitempty"`
-	// UnresponsiveSinceMs says that the machine has not been answered since this time of day
-	// (ms): see recordSilence.
+	// UnresponsiveSinceMs is the machine's unresponsive mark: the wall-clock time in ms
+	// since which no controller has replied to it, or 0. See markUnresponsiveMachines.
 	UnresponsiveSinceMs int64 `json:"quiet,omitempty"`
 }
 
-// bytes bounds what the machine takes in its page.
+// recordBytes returns an upper bound on the size of the machine's entry in its page.
 func (m *machine) recordBytes() int {
 	return 128 + len(m.host) + len(m.endpoint) + len(m.typeName) + len(m.zone)
 }
 
-// registryPage is the leader's view of one slice of the roster. Many machines share a
-// key: one key each would take the largest fleets minutes to write.
+// registryPage is the leader's view of one page of the registry. Many machines share a
+// page, because with one key per machine the largest fleets would take minutes to write.
 type registryPage struct {
-	dirty, writing  bool
-	bytes           int
-	machinesAtStart int // machines, when the term began
-	// writtenAfter are pages that take machines over from this one: they go first, so
-	// that each machine is always on one of them.
+	dirty, writing  bool // dirty: to be written; writing: a write is queued or in flight
+	bytes           int  // estimated size of its value
+	machinesAtStart int  // number of machines on it when the term began
+	// writtenAfter lists the pages that machines of this page are moved to. Those are
+	// written first, so that each machine is always on at least one stored page.
 	writtenAfter []int
 }
 
-// applyPage takes a page of the roster.
-func (s *State) applyPage(name string, it Item) {
-	n, err := strconv.Atoi(name)
-	if err != nil || n < 1 {
+// applyPage applies a stored page of the registry.
+func (s *State) applyPage(name string, item Item) {
+	pageNumber, err := strconv.Atoi(name)
+	if err != nil || pageNumber < 1 {
 		return
 	}
 	var hosts map[string]machineRecord
-	if !it.Removed {
-		if err := json.Unmarshal(it.Value, &hosts); err != nil {
-			s.log(slog.LevelError, "unreadable roster", "page", n, "error", err.Error())
+	if !item.Removed {
+		if err := json.Unmarshal(item.Value, &hosts); err != nil {
+			s.log(slog.LevelError, "registry page cannot be decoded", "page", pageNumber, "error", err.Error())
 			return
 		}
 	}
 	listed := sortedKeys(hosts)
 	for _, host := range listed {
-		v := hosts[host]
+		record := hosts[host]
 		m := s.ensureMachine(host)
-		m.storedPage, m.registered, m.preexisting = n, true, v.Preexisting
-		m.storedUnresponsiveSince, m.readUnresponsiveSince = v.UnresponsiveSinceMs, v.UnresponsiveSinceMs
+		m.storedPage, m.registered, m.preexisting = pageNumber, true, record.Preexisting
+		m.storedUnresponsiveSince, m.readUnresponsiveSince = record.UnresponsiveSinceMs, record.UnresponsiveSinceMs
 		if !s.caughtUp || m.page == 0 {
-			m.page = n // a leader's own wish stands: it may be moving the machine
+			m.page = pageNumber // a leader keeps its own choice, since it may be moving the machine
 		}
-		s.describeMachine(m, v.Endpoint, v.Type, v.Zone, v.Spot)
+		s.describeMachine(m, record.Endpoint, record.Type, record.Zone, record.Spot)
 	}
-	s.removeUnlisted(n, hosts)
-	s.pageHosts[n] = listed
+	s.removeUnlisted(pageNumber, hosts)
+	s.pageHosts[pageNumber] = listed
 }
 
-// removeUnlisted takes the machines off the roster that were on a page when it was
-// last read, and aren't now. It goes over that page only: to look at the whole fleet
-// for each page made a full read grow with its square.
-func (s *State) removeUnlisted(n int, hosts map[string]machineRecord) {
-	for _, host := range s.pageHosts[n] {
+// removeUnlisted removes the machines from the registry that were on a page when it was
+// last read and are not on it now. It looks at the machines of that page only: scanning
+// the whole fleet for each page makes the cost of a full read grow with its square.
+func (s *State) removeUnlisted(pageNumber int, hosts map[string]machineRecord) {
+	for _, host := range s.pageHosts[pageNumber] {
 		m := s.machines[host]
-		if _, on := hosts[host]; m != nil && m.storedPage == n && m.registered && !on {
+		if _, listed := hosts[host]; m != nil && m.storedPage == pageNumber && m.registered && !listed {
 			m.page, m.storedPage = 0, 0
 			s.markUnregistered(m)
 		}
 	}
 }
 
-// applyMachineKey takes a machine's own key, as versions before the pages wrote
-// it. It stays until the machine goes.
-func (s *State) applyMachineKey(host string, it Item) {
-	if it.Removed {
+// applyMachineKey applies a machine's own key, as versions before the registry pages
+// wrote it. The key stays until the machine is unregistered.
+func (s *State) applyMachineKey(host string, item Item) {
+	if item.Removed {
 		if m := s.machines[host]; m != nil && m.hasOwnKey {
 			m.hasOwnKey = false
 			if m.page == 0 {
@@ -98,15 +101,16 @@
 		}
 		return
 	}
-	var v machineRecord
-	if json.Unmarshal(it.Value, &v) != nil {
+	var record machineRecord
+	if json.Unmarshal(item.Value, &record) != nil {
 		return
 	}
 	m := s.ensureMachine(host)
-	m.hasOwnKey, m.registered, m.preexisting = true, true, v.Preexisting
-	s.describeMachine(m, v.Endpoint, v.Type, v.Zone, v.Spot)
+	m.hasOwnKey, m.registered, m.preexisting = true, true, record.Preexisting
+	s.describeMachine(m, record.Endpoint, record.Type, record.Zone, record.Spot)
 }
 
+// markUnregistered records that m is no longer stored in the registry.
 func (s *State) markUnregistered(m *machine) {
 	m.registered, m.storedUnresponsiveSince, m.readUnresponsiveSince = false, 0, 0
 	if !s.IsLeader() {
@@ -114,7 +118,7 @@
 	}
 }
 
-// unregister takes a machine that is gone off the roster.
+// unregister removes a machine that no longer exists from the stored registry.
 func (s *State) unregister(m *machine) {
 	if p := s.pages[m.page]; p != nil {
 		p.dirty = true
@@ -127,16 +131,16 @@
 	}
 }
 
-// maintainRegistry enrolls the machines that have shown themselves in this term and
-// writes the pages that have changed.
+// maintainRegistry registers the machines that were reconciled in this term and writes
+// the pages that have changed.
 func (s *State) maintainRegistry() {
 	if s.now < s.nextPageWriteAt {
 		return
 	}
 	s.nextPageWriteAt = s.now + s.cfg.ReportInterval/12
 	s.markUnresponsiveMachines()
-	for _, p := range s.pages {
-		p.bytes = 2
+	for _, page := range s.pages {
+		page.bytes = 2
 	}
 	for _, m := range s.machinesByName {
 		if m.page > 0 {
@@ -148,51 +152,53 @@
 			continue
 		}
 		m.page = s.pageWithCapacity(m.recordBytes())
-		p := s.page(m.page)
-		p.bytes += m.recordBytes()
-		p.dirty = true
+		page := s.page(m.page)
+		page.bytes += m.recordBytes()
+		page.dirty = true
 	}
-	for _, n := range sortedKeys(s.pages) {
-		p := s.pages[n]
-		if p.dirty && !p.writing && p.bytes > s.maxPageBytes() {
-			s.shrinkPage(n, p)
+	for _, pageNumber := range sortedKeys(s.pages) {
+		page := s.pages[pageNumber]
+		if page.dirty && !page.writing && page.bytes > s.maxPageBytes() {
+			s.shrinkPage(pageNumber, page)
 		}
 	}
-	for _, n := range sortedKeys(s.pages) {
-		p := s.pages[n]
-		p.writtenAfter = slices.DeleteFunc(p.writtenAfter, func(k int) bool { return !s.pages[k].dirty && !s.pages[k].writing })
-		if p.dirty && !p.writing && len(p.writtenAfter) == 0 {
-			s.writePage(n, p)
+	for _, pageNumber := range sortedKeys(s.pages) {
+		page := s.pages[pageNumber]
+		page.writtenAfter = slices.DeleteFunc(page.writtenAfter, func(other int) bool { return !s.pages[other].dirty && !s.pages[other].writing })
+		if page.dirty && !page.writing && len(page.writtenAfter) == 0 {
+			s.writePage(pageNumber, page)
 		}
 	}
 }
 
-// shrinkPage moves machines from a page that is larger than pages may be now, as a
-// version that knew other limits left it, to other pages.
-func (s *State) shrinkPage(n int, p *registryPage) {
-	for i := len(s.machinesByName) - 1; i >= 0 && p.bytes > s.maxPageBytes(); i-- {
+// shrinkPage moves machines to other pages until the page is within the limit. It
+// may exceed the limit if a previous version with other limits wrote it.
+func (s *State) shrinkPage(pageNumber int, page *registryPage) {
+	for i := len(s.machinesByName) - 1; i >= 0 && page.bytes > s.maxPageBytes(); i-- {
 		m := s.machinesByName[i]
-		if m.page != n {
+		if m.page != pageNumber {
 			continue
 		}
 		m.page = s.pageWithCapacity(m.recordBytes())
-		k := s.page(m.page)
-		k.bytes += m.recordBytes()
-		k.dirty = true
-		p.bytes -= m.recordBytes()
-		if !slices.Contains(p.writtenAfter, m.page) {
-			p.writtenAfter = append(p.writtenAfter, m.page)
+		target := s.page(m.page)
+		target.bytes += m.recordBytes()
+		target.dirty = true
+		page.bytes -= m.recordBytes()
+		if !slices.Contains(page.writtenAfter, m.page) {
+			page.writtenAfter = append(page.writtenAfter, m.page)
 		}
 	}
 }
 
-// maxPageBytes is how large a page may be: a quarter of the largest value, since
-// each change rewrites one, but enough for some machines where values are small.
+// maxPageBytes returns the maximum size of a page. It is a quarter of the largest
+// value, because each change rewrites a whole page. Where values are small, it is more,
+// so that a page holds several machines.
 func (s *State) maxPageBytes() int {
-	most := min(s.cfg.MaxValueBytes, maxTxnBytes)
-	return max(most/4, min(most*3/4, 1536))
+	largestValue := min(s.cfg.MaxValueBytes, maxTxnBytes)
+	return max(largestValue/4, min(largestValue*3/4, 1536))
 }
 
+// page returns page n and creates it if needed.
 func (s *State) page(n int) *registryPage {
 	p := s.pages[n]
 	if p == nil {
@@ -202,7 +208,8 @@
 	return p
 }
 
-// pageWithCapacity finds a page for one more machine.
+// pageWithCapacity returns the number of the first page that has space for one more
+// machine, whose entry takes bytes.
 func (s *State) pageWithCapacity(bytes int) int {
 	limit := s.maxPageBytes()
 	for n := 1; ; n++ {
@@ -212,29 +219,30 @@
 	}
 }
 
-func (s *State) writePage(n int, p *registryPage) {
+// writePage queues the write of a page, or its removal if no machine is on it.
+func (s *State) writePage(pageNumber int, page *registryPage) {
 	hosts := map[string]machineRecord{}
 	for _, m := range s.machinesByName {
-		if m.page != n {
+		if m.page != pageNumber {
 			continue
 		}
 		hosts[m.host] = machineRecord{m.endpoint, m.typeName, m.zone, m.spot, m.preexisting, m.unresponsiveSince}
 		if m.unresponsiveSince != 0 {
-			m.storedUnresponsiveSince = m.unresponsiveSince // from now on it may be there
+			m.storedUnresponsiveSince = m.unresponsiveSince // from now on the mark may be stored
 		}
 	}
-	p.dirty, p.writing = false, true
-	key := prefixPages + strconv.Itoa(n)
+	page.dirty, page.writing = false, true
+	key := prefixPages + strconv.Itoa(pageNumber)
 	change := Change{Key: key, Value: mustMarshal(hosts)}
 	if len(hosts) == 0 {
 		change = Change{Key: key, Remove: true}
 	}
 	s.queueWrite(&write{
 		change: change, class: classRegistry, leaderTerm: s.leadership.Term, deadline: s.now + time.Hour,
-		done: func(r outcome) {
-			p.writing = false
-			if r != written {
-				p.dirty = true
+		done: func(result outcome) {
+			page.writing = false
+			if result != written {
+				page.dirty = true
 			}
 			s.dispatchNeeded = true
 			s.answerReports()
@@ -242,20 +250,19 @@
 	})
 }
 
-// markUnresponsiveMachines writes down which machines haven't been answered for a while, and
-// since when. A successor would otherwise have to give each of them a whole
-// lease from its own election before it may start their tasks elsewhere: with
-// a zone cut off and the leader gone, that doubled the time for which the
-// zone's services were down. Once the mark may be in the state service the
-// machine is not answered before it has been taken away again.
+// markUnresponsiveMachines stores since when machines have had no reply, once that is a
+// while ago. Without the mark, a successor must wait for a whole lease from its own
+// election before it may start their tasks elsewhere. When a zone is cut off and the
+// leader fails, that doubles the time for which the zone's services are down. Once a
+// mark may be stored, the machine gets no reply until the mark has been removed.
 func (s *State) markUnresponsiveMachines() {
 	if s.cfg.MaxClockSkew <= 0 || s.now < s.nextUnresponsiveCheckAt {
-		return // how far clocks are apart isn't known
+		return // without a bound on the clock skew, a successor could not use the marks
 	}
 	s.nextUnresponsiveCheckAt = s.now + max(s.cfg.ReportInterval/6, min(s.cfg.ReportInterval/2, time.Second))
-	after := s.reportTimeout(s.cfg.ReportInterval*3/2, s.cfg.ReportInterval*2)
+	timeout := s.reportTimeout(s.cfg.ReportInterval*3/2, s.cfg.ReportInterval*2)
 	for _, m := range s.machinesByName {
-		if m.page == 0 || !m.registered || m.returning || m.unresponsiveSince != 0 || s.now-m.lastReplyAt < after {
+		if m.page == 0 || !m.registered || m.returning || m.unresponsiveSince != 0 || s.now-m.lastReplyAt < timeout {
 			continue
 		}
 		m.unresponsiveSince = max(1, s.wallTimeAt(m.lastReplyAt))
@@ -263,8 +270,8 @@
 	}
 }
 
-// clearUnresponsiveMark says whether m may be answered; if its mark may be in the state
-// service, that is taken away first.
+// clearUnresponsiveMark reports whether a reply may be sent to m. If a mark may be
+// stored for m, it returns false, and the mark is removed first.
 func (s *State) clearUnresponsiveMark(m *machine) bool {
 	if m.unresponsiveSince != 0 {
 		m.unresponsiveSince = 0
@@ -273,21 +280,22 @@
 	return m.storedUnresponsiveSince == 0
 }
 
-// wallTimeAt is the time of day at t, in ms, rounded up.
+// wallTimeAt returns the wall-clock time at the monotonic time t, in ms, rounded up.
 func (s *State) wallTimeAt(t time.Duration) int64 {
 	return s.wallMs - int64((s.wallReadAt-t)/time.Millisecond) + 1
 }
 
-// latestPossibleReplyAt is the latest time at which a former leader may have answered m:
-// before this one's election, as it has said itself, and as the roster says.
+// latestPossibleReplyAt returns the latest time at which a former leader may have
+// replied to m. That is the election of this leader, or earlier if the former leader
+// has reported so or has marked m as unresponsive.
 func (s *State) latestPossibleReplyAt(m *machine) time.Duration {
-	last := s.electedAt
-	if at, ok := s.transferredReplyAt(m); ok {
-		last = min(last, at)
+	latest := s.electedAt
+	if transferredAt, ok := s.transferredReplyAt(m); ok {
+		latest = min(latest, transferredAt)
 	}
 	if m.storedUnresponsiveSince != 0 && s.cfg.MaxClockSkew > 0 {
-		ago := time.Duration(s.wallMs-m.storedUnresponsiveSince)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
-		last = min(last, s.now-ago)
+		sinceReply := time.Duration(s.wallMs-m.storedUnresponsiveSince)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
+		latest = min(latest, s.now-sinceReply)
 	}
-	return last
+	return latest
 }
--- a/internal/core/storecalls.go
+++ b/internal/core/storecalls.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Calls to the state service and their ends.
+// This file defines the calls to the state service and their results.
 
-// StoreOp names a call to the state service.
+// StoreOp is the kind of a call to the state service.
 type StoreOp string
 
-// Calls to the state service.
+// Kinds of calls to the state service.
 const (
 	StoreList   StoreOp = "list"
 	StoreWatch  StoreOp = "watch"
@@ -20,7 +20,8 @@
 	StoreRevoke StoreOp = "revoke"
 )
 
-// Precondition demands that a key has a given version (0: does not exist).
+// Precondition requires that a key has a given modification revision (0: that it does
+// not exist).
 type Precondition struct {
 	Key         string
 	ModRevision uint64
@@ -29,8 +30,8 @@
 // Change sets or removes a key.
 type Change struct {
 	Key    string
-	Value  json.RawMessage // nil removes
-	Lease  uint64
+	Value  json.RawMessage // unused if Remove is set
+	Lease  uint64          // the key is removed with this lease; 0: none
 	Remove bool
 }
 
@@ -39,18 +40,18 @@
 	CallID        uint64
 	Op            StoreOp
 	Prefix        string
-	StartAfter    string // list: starting after this key
-	AfterRevision uint64 // watch: revision
-	BlockTimeout  time.Duration
-	Limit         int
+	StartAfter    string        // list: start after this key
+	AfterRevision uint64        // watch: return changes after this revision
+	BlockTimeout  time.Duration // watch: wait at most this long for a change
+	Limit         int           // list: maximum number of keys
 	Preconditions []Precondition
 	Changes       []Change
-	TTL           time.Duration // grant
-	Lease         uint64        // touch, revoke
+	TTL           time.Duration // for StoreLease
+	Lease         uint64        // for StoreRenew and StoreRevoke
 	Timeout       time.Duration
 }
 
-// Item is a key as the state service returns it.
+// Item is a key and its value as the state service returns them, or a removed key.
 type Item struct {
 	Key         string
 	Value       json.RawMessage
@@ -58,14 +59,15 @@
 	Removed     bool
 }
 
-// StoreResult ends a StoreCall. Status 0 means that no answer came.
+// StoreResult is the result of a StoreCall. Status 0 means that the outcome
+// is unknown, as without an answer.
 type StoreResult struct {
 	CallID     uint64
 	Status     int
 	Err        string
-	Revision   uint64
+	Revision   uint64 // of the state service
 	Items      []Item
-	More       bool
-	Lease      uint64
-	FailedKeys []string
+	More       bool     // list: there are further keys
+	Lease      uint64   // the new lease, for StoreLease
+	FailedKeys []string // keys whose preconditions failed
 }
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -6,79 +6,80 @@
 	"time"
 )
 
-// Versions of the program run side by side while a cluster is rolled over to a
-// new one. What one writes, the other may read and rewrite: so the new one
-// writes the former version's messages and values, and takes no work that the
-// former doesn't know, until every controller has said that it knows the new
-// version. That is noted in the state service, once, and holds from then on,
-// whatever restarts or is cut off.
+// During a rolling upgrade, two versions of the program run side by side, and each may
+// read and rewrite what the other writes. The new program therefore writes the messages
+// and values of the previous version, and accepts no work that the previous version
+// does not know, until every controller has said that it knows the new version. Then
+// the cluster version is raised in the state service. It is never lowered, whatever
+// restarts or is cut off later.
 
 // Versions of messages and stored values.
 const (
-	versionFirst = iota // as before versions were counted
-	versionGangs        // gangs, and bitmaps of finished tasks in parts as small as needed
+	versionFirst = iota // the version before versions were numbered
+	versionGangs        // adds gangs, and bitmaps of finished tasks that are split into smaller parts
 
-	// NewestVersion is the newest that this program knows.
+	// NewestVersion is the newest version that this program knows.
 	NewestVersion = versionGangs
 )
 
-// clusterVersionValue is the version in use, in the state service.
+// clusterVersionValue is the cluster version as stored in the state service.
 type clusterVersionValue struct {
 	Version int `json:"forms"`
 }
 
-// versionState is what concerns the version in use.
+// versionState holds the state of agreeing on the cluster version.
 type versionState struct {
-	raisingVersion   bool          // the write of the cluster version is under way
-	ownVersionStored bool          // this controller's own version is in the state service
-	storedOwnVersion int           // as noted there, perhaps by an earlier life
-	storeVersionAt   time.Duration // not before
+	raisingVersion   bool          // the write of the cluster version is queued or in flight
+	ownVersionStored bool          // this incarnation's version is in the state service
+	storedOwnVersion int           // the version stored there, perhaps by a previous incarnation
+	storeVersionAt   time.Duration // earliest time of the next attempt to store it
 }
 
-// applyClusterVersion takes the key of the version in use. It never falls.
-func (s *State) applyClusterVersion(it Item) {
-	var v clusterVersionValue
-	if !it.Removed && json.Unmarshal(it.Value, &v) == nil && v.Version > s.clusterVersion {
-		s.clusterVersion = v.Version
-		s.log(slog.LevelInfo, "cluster version raised", "version", v.Version)
+// applyClusterVersion applies the stored cluster version. It never decreases.
+func (s *State) applyClusterVersion(item Item) {
+	var value clusterVersionValue
+	if !item.Removed && json.Unmarshal(item.Value, &value) == nil && value.Version > s.clusterVersion {
+		s.clusterVersion = value.Version
+		s.log(slog.LevelInfo, "cluster version raised", "version", value.Version)
 	}
 }
 
-// controllerVersionValue is the newest version that a controller knows, as it has
-// noted itself in the state service.
+// controllerVersionValue is the newest version that a controller knows, as the
+// controller has stored it in the state service.
 type controllerVersionValue struct {
 	Version int `json:"forms"`
 }
 
-// applyControllerVersion takes a controller's note. What came last counts: the note
-// or what the controller says.
-func (s *State) applyControllerVersion(node string, it Item) {
-	var v controllerVersionValue
-	if !it.Removed && json.Unmarshal(it.Value, &v) != nil {
-		s.log(slog.LevelError, "unreadable note of a version", "controller", node)
+// applyControllerVersion applies a controller's stored version. The latest information
+// counts, whether it is the stored version or a message from the controller.
+func (s *State) applyControllerVersion(node string, item Item) {
+	var value controllerVersionValue
+	if !item.Removed && json.Unmarshal(item.Value, &value) != nil {
+		s.log(slog.LevelError, "stored version of a controller cannot be decoded", "controller", node)
 		return
 	}
 	if node == s.cfg.Self {
-		s.storedOwnVersion, s.ownVersionStored = v.Version, s.ownVersionStored && !it.Removed
+		s.storedOwnVersion, s.ownVersionStored = value.Version, s.ownVersionStored && !item.Removed
 		return
 	}
-	if p := s.peers[node]; p != nil {
-		p.versionStored = !it.Removed
-		if p.versionStored {
-			p.version = v.Version
+	if peer := s.peers[node]; peer != nil {
+		peer.versionStored = !item.Removed
+		if peer.versionStored {
+			peer.version = value.Version
 		}
 	}
 }
 
-// storeOwnVersion writes down, once after a start, which version this controller
-// knows. A leader elected later needs no word of it then: without the note, gangs
-// were refused for as long as a controller that had been changed over was out of
-// the leader's reach.
+// storeOwnVersion stores, once after a start, which version this controller knows. A
+// leader that is elected later then does not depend on a message from it. Without the
+// stored version, gangs are refused for as long as the leader cannot reach a controller
+// that has already been upgraded.
 func (s *State) storeOwnVersion() {
 	if s.cfg.Version == versionFirst || s.clusterVersion >= s.cfg.Version || s.ownVersionStored {
 		return
 	}
-	// A cluster that is new altogether raises its version at once.
+	// The short wait avoids these writes in a new cluster, whose first leader raises
+	// the cluster version at once.
 	if !s.isStoreReachable() || s.now < max(s.storeVersionAt, s.startedAt+s.electionConfig.PromiseDuration/4) {
 		return
 	}
@@ -94,31 +95,33 @@
 	})
 }
 
-// handlePeerVersion takes the version that a controller says it knows. One that was
-// changed back must not be counted on by its note; late words of its earlier life
-// cost no more than the note.
+// handlePeerVersion applies the version that a controller says it knows. If it was
+// rolled back, the leader removes its stored version, which no longer holds. A late
+// message from its previous incarnation may cause that wrongly, but costs no more than
+// the stored version.
 func (s *State) handlePeerVersion(node string, version int) {
-	p := s.peers[node]
-	p.version = version
-	if version >= s.cfg.Version || !p.versionStored || !s.IsLeader() {
+	peer := s.peers[node]
+	peer.version = version
+	if version >= s.cfg.Version || !peer.versionStored || !s.IsLeader() {
 		return
 	}
-	p.versionStored = false
-	s.log(slog.LevelInfo, "a controller runs a former version again", "controller", node, "version", version)
+	peer.versionStored = false
+	s.log(slog.LevelInfo, "a controller was rolled back to a previous version", "controller", node, "version", version)
 	s.queueWrite(&write{
 		change: Change{Key: prefixVersions + node, Remove: true}, leaderTerm: s.leadership.Term,
 		deadline: s.now + time.Hour, class: classRegistry, done: func(outcome) {},
 	})
 }
 
-// raiseClusterVersion notes that every controller knows the newest version, or
-// that there is nothing yet that another may have written.
+// raiseClusterVersion raises the cluster version once every controller knows the newest
+// version. In the first term it does so at once, because no other controller can have
+// written anything yet.
 func (s *State) raiseClusterVersion() {
 	if s.clusterVersion >= s.cfg.Version || s.raisingVersion || !s.IsLeader() {
 		return
 	}
-	for _, p := range s.peers {
-		if !s.firstTerm && !s.knowsNewestVersion(p) {
+	for _, peer := range s.peers {
+		if !s.firstTerm && !s.knowsNewestVersion(peer) {
 			return
 		}
 	}
@@ -130,13 +133,14 @@
 	})
 }
 
-// knowsNewestVersion says whether a controller surely knows this one's version: it has
-// just said so, or its last word or note said so and it could not be reached since
-// the election. A controller in reach is heard well within two promises, also one
-// that was changed back after its note.
-func (s *State) knowsNewestVersion(p *peerState) bool {
-	if p.version < s.cfg.Version {
+// knowsNewestVersion reports whether a controller certainly knows this one's version.
+// Either it has said so recently, or its last message or stored version says so and
+// it has been unreachable since the election. A reachable controller sends a message
+// well within two promise durations, so one that was rolled back after it stored its
+// version is noticed.
+func (s *State) knowsNewestVersion(peer *peerState) bool {
+	if peer.version < s.cfg.Version {
 		return false
 	}
-	return s.now-p.heardAt <= s.electionConfig.PromiseDuration || s.now-s.electedAt > 2*s.electionConfig.PromiseDuration
+	return s.now-peer.heardAt <= s.electionConfig.PromiseDuration || s.now-s.electedAt > 2*s.electionConfig.PromiseDuration
 }
