--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -16,17 +16,18 @@
 	"mulleinfall/internal/model"
 )
 
-// keptSample is a message or stored value as a former version made it: for messages
-// the fields and the bytes, for values the key and the JSON.
+// keptSample is a message or stored value as a previous version wrote it. For messages
+// it has the fields and the encoded bytes, for values the key and the JSON.
 type keptSample struct{ kind, name, fields, bytes string }
 
-// The kept samples: of the version in production, and of the first that runs
-// gangs, from which clusters may be rolled over as well.
+// The files with kept samples: from the version in production, and from the first
+// version with gangs. Clusters may be upgraded from both.
 const (
 	production = "testdata/production.txt"
 	firstGangs = "testdata/first-gangs.txt"
 )
 
+// readSamples reads a file of kept samples.
 func readSamples(t *testing.T, file string) []keptSample {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -48,128 +49,129 @@
 	return list
 }
 
-// TestReadsPreviousVersionMessages: what a former version says to another controller is
-// understood as it was meant.
+// TestReadsPreviousVersionMessages checks that the messages of previous versions are
+// decoded with the meaning that they had there.
 func TestReadsPreviousVersionMessages(t *testing.T) {
 	for file, kinds := range map[string]int{production: 16, firstGangs: 15} {
 		read := 0
-		for _, x := range readSamples(t, file) {
-			if x.kind != "message" {
+		for _, sample := range readSamples(t, file) {
+			if sample.kind != "message" {
 				continue
 			}
 			read++
-			b, err := hex.DecodeString(x.bytes)
+			encoded, err := hex.DecodeString(sample.bytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var m PeerMsg
-			if err := msgpack.Unmarshal(b, &m); err != nil {
-				t.Errorf("%s: %s: %v", file, x.name, err)
+			var got PeerMsg
+			if err := msgpack.Unmarshal(encoded, &got); err != nil {
+				t.Errorf("%s: %s: %v", file, sample.name, err)
 				continue
 			}
 			var want PeerMsg
-			if err := json.Unmarshal([]byte(x.fields), &want); err != nil {
+			if err := json.Unmarshal([]byte(sample.fields), &want); err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(m, want) {
-				t.Errorf("%s: %s: read as\n%+v, was\n%+v", file, x.name, m, want)
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("%s: %s: got\n%+v, want\n%+v", file, sample.name, got, want)
 			}
 		}
 		if read < kinds {
-			t.Errorf("%s: %d kinds of messages, want all %d", file, read, kinds)
+			t.Errorf("%s: got %d kinds of messages, want at least %d", file, read, kinds)
 		}
 	}
 }
 
-// TestPreviousVersionsReadMessages: a message of the present version has, under the same
-// names and as the same kinds of values, what a former one put into it, and
-// nothing else but the number of the version, which the one in production ignores.
+// TestPreviousVersionsReadMessages checks that a message of this version has the same
+// fields, with the same types of values, as one of a previous version. The only
+// addition is the version number, which the version in production ignores.
 func TestPreviousVersionsReadMessages(t *testing.T) {
 	for _, file := range []string{production, firstGangs} {
-		for _, x := range readSamples(t, file) {
-			if x.kind != "message" {
+		for _, sample := range readSamples(t, file) {
+			if sample.kind != "message" {
 				continue
 			}
-			var m PeerMsg
-			if err := json.Unmarshal([]byte(x.fields), &m); err != nil {
+			var message PeerMsg
+			if err := json.Unmarshal([]byte(sample.fields), &message); err != nil {
 				t.Fatal(err)
 			}
 			if file == production {
-				m.Version = NewestVersion
+				message.Version = NewestVersion
 			}
-			b, err := msgpack.Marshal(m)
+			encoded, err := msgpack.Marshal(message)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var now, then map[string]any
-			old, _ := hex.DecodeString(x.bytes)
-			if msgpack.Unmarshal(b, &now) != nil || msgpack.Unmarshal(old, &then) != nil {
-				t.Fatalf("%s: %s: not a map", file, x.name)
+			var got, want map[string]any
+			previousEncoded, _ := hex.DecodeString(sample.bytes)
+			if msgpack.Unmarshal(encoded, &got) != nil || msgpack.Unmarshal(previousEncoded, &want) != nil {
+				t.Fatalf("%s: %s: message is not encoded as a map", file, sample.name)
 			}
 			if file == production {
-				delete(now, "fm")
+				delete(got, "fm")
 			}
-			if !reflect.DeepEqual(now, then) {
-				t.Errorf("%s: %s: now\n%v, then\n%v", file, x.name, now, then)
+			if !reflect.DeepEqual(got, want) {
+				t.Errorf("%s: %s: got\n%v, want\n%v", file, sample.name, got, want)
 			}
 		}
 	}
 }
 
-// TestReadsFirstGangsValues: a controller that starts on what the first version
-// with gangs has stored knows its gangs, the cluster version, progress in parts
-// and machines, and writes the same again.
+// TestReadsFirstGangsValues checks that a controller that starts with the values stored
+// by the first version with gangs reads its gangs, the cluster version, bitmaps in
+// parts and machines, and encodes them to the same values again.
 func TestReadsFirstGangsValues(t *testing.T) {
 	s := newSingleController()
-	stamp := uint64(10)
+	revision := uint64(10)
 	stored := map[string]string{}
-	for _, x := range readSamples(t, firstGangs) {
-		if x.kind == "value" {
-			stamp++
-			stored[x.name] = x.fields
-			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), ModRevision: stamp})
+	for _, sample := range readSamples(t, firstGangs) {
+		if sample.kind == "value" {
+			revision++
+			stored[sample.name] = sample.fields
+			s.apply(Item{Key: sample.name, Value: json.RawMessage(sample.fields), ModRevision: revision})
 		}
 	}
 	if s.clusterVersion != versionGangs || s.term != 10 || s.leaderNode != "n2" {
-		t.Errorf("cluster version %d, term %d, leader %s", s.clusterVersion, s.term, s.leaderNode)
+		t.Errorf("got cluster version %d, term %d, leader %s, want the version with gangs, term 10, leader n2", s.clusterVersion, s.term, s.leaderNode)
 	}
 	if g := s.jobs["req-300001"]; g == nil || g.Kind != model.KindGang || g.Tasks != 6 || g.CheckpointEveryS != 5 || g.CheckpointCostS != 2 || s.active[g.ID] != g {
-		t.Errorf("a gang is read as %+v", g)
+		t.Errorf("req-300001: got %+v, want an active gang of 6 tasks with a checkpoint every 5 s at a cost of 2 s", g)
 	}
 	if j := s.jobs["req-300007"]; j == nil || j.phase != model.PhaseAborted {
-		t.Errorf("a withdrawn job is read as %+v", j)
+		t.Errorf("req-300007: got %+v, want a cancelled job", j)
 	}
 	for _, key := range []string{"mf/j/req-300001", "mf/forms", "mf/r/1", "mf/leader", "mf/term"} {
-		var again any
-		switch dir, fields := key, stored[key]; {
-		case strings.HasPrefix(dir, prefixJobs):
-			again = readAs[jobValue](t, fields)
-		case strings.HasPrefix(dir, prefixPages):
-			again = readAs[map[string]machineRecord](t, fields)
-		case dir == keyClusterVersion:
-			again = readAs[clusterVersionValue](t, fields)
-		case dir == keyLeader:
-			again = readAs[leaderValue](t, fields)
-		case dir == keyTerm:
-			again = readAs[termValue](t, fields)
+		var decoded any
+		switch prefix, fields := key, stored[key]; {
+		case strings.HasPrefix(prefix, prefixJobs):
+			decoded = readAs[jobValue](t, fields)
+		case strings.HasPrefix(prefix, prefixPages):
+			decoded = readAs[map[string]machineRecord](t, fields)
+		case prefix == keyClusterVersion:
+			decoded = readAs[clusterVersionValue](t, fields)
+		case prefix == keyLeader:
+			decoded = readAs[leaderValue](t, fields)
+		case prefix == keyTerm:
+			decoded = readAs[termValue](t, fields)
 		}
-		if got := string(mustMarshal(again)); got != stored[key] {
-			t.Errorf("%s: written again as\n%s, was\n%s", key, got, stored[key])
+		if got := string(mustMarshal(decoded)); got != stored[key] {
+			t.Errorf("%s: got re-encoded value\n%s, want\n%s", key, got, stored[key])
 		}
 	}
-	// Of a job that goes on: each third of its tasks is done, in three parts.
+	// The bitmap of an active job is stored in three parts, and every third task is
+	// done.
 	s = newSingleController()
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 7000}}), ModRevision: 5})
 	for _, part := range []string{"0", "0.1", "0.2"} {
-		stamp++
-		s.apply(Item{Key: prefixProgress + "req-000010/" + part, Value: json.RawMessage(stored[prefixProgress+"req-000010/"+part]), ModRevision: stamp})
+		revision++
+		s.apply(Item{Key: prefixProgress + "req-000010/" + part, Value: json.RawMessage(stored[prefixProgress+"req-000010/"+part]), ModRevision: revision})
 	}
 	if j := s.jobs["req-000010"]; j.doneCount != 2334 || !j.isDone(6999) || j.isDone(6998) {
-		t.Errorf("%d of 2334 finished tasks read", j.doneCount)
+		t.Errorf("got %d finished tasks, want 2334, with the last task done and the one before not", j.doneCount)
 	}
 }
 
-// readAs decodes a stored value.
+// readAs decodes a stored value as a V.
 func readAs[V any](t *testing.T, value string) V {
 	t.Helper()
 	var v V
@@ -179,68 +181,69 @@
 	return v
 }
 
-// TestReadsProductionValues: a controller that starts on what the version in
-// production has stored knows its jobs, progress, machines, types and term.
+// TestReadsProductionValues checks that a controller that starts with the values stored
+// by the version in production reads its jobs, progress, machines, machine types and
+// term.
 func TestReadsProductionValues(t *testing.T) {
 	s := newSingleController()
-	stamp := uint64(10)
-	for _, x := range readSamples(t, production) {
-		if x.kind == "value" {
-			stamp++
-			s.apply(Item{Key: x.name, Value: json.RawMessage(x.fields), ModRevision: stamp})
+	revision := uint64(10)
+	for _, sample := range readSamples(t, production) {
+		if sample.kind == "value" {
+			revision++
+			s.apply(Item{Key: sample.name, Value: json.RawMessage(sample.fields), ModRevision: revision})
 		}
 	}
 	j := s.jobs["req-000105"]
 	if j == nil || j.Class != "nightly" || j.Tasks != 1 || j.CPUs != 1 || j.EstimateS != 9.5 || j.phase != model.PhaseDone {
-		t.Errorf("req-000105 is %+v", j)
+		t.Errorf("req-000105: got %+v, want a finished job of class nightly with 1 task, 1 CPU and an estimate of 9.5", j)
 	}
 	if j := s.jobs["req-000009"]; j == nil || j.phase != model.PhaseAborted {
-		t.Errorf("req-000009 is %+v, was cancelled", j)
+		t.Errorf("req-000009: got %+v, want a cancelled job", j)
 	}
 	if s.term != 3 || s.leaderNode != "n0" || s.leaderLease != 3 || len(s.typeList) != 1 || s.types["small"].CacheGB != 20 {
-		t.Errorf("term %d, leader %s by lease %d, %d types", s.term, s.leaderNode, s.leaderLease, len(s.typeList))
+		t.Errorf("got term %d, leader %s with lease %d, %d types, want term 3, leader n0 with lease 3, 1 type with 20 GB of cache", s.term, s.leaderNode, s.leaderLease, len(s.typeList))
 	}
 	for _, m := range s.machines {
 		if !m.registered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
-			t.Errorf("machine %s: %+v", m.host, m)
+			t.Errorf("machine %s: got %+v, want a registered machine of type small on page 1", m.host, m)
 		}
 	}
 	if len(s.machines) < 2 {
-		t.Errorf("%d machines on the roster", len(s.machines))
+		t.Errorf("got %d registered machines, want at least 2", len(s.machines))
 	}
-	// Progress, for a job that goes on, and a machine's own key as versions
-	// before the pages wrote it.
+	// The progress of an active job, and a machine's own key as versions before the
+	// registry pages wrote it.
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
 	s = newSingleController()
 	s.apply(Item{Key: prefixJobs + "req-000010", Value: mustMarshal(jobValue{Spec: &model.Job{ID: "req-000010", Tasks: 13}}), ModRevision: 5})
 	s.apply(Item{Key: prefixProgress + "req-000010/0", Value: json.RawMessage(`{"b":"/wc="}`), ModRevision: 6})
 	s.apply(Item{Key: prefixMachines + "n-7", Value: json.RawMessage(`{"endpoint":"e","type":"small","zone":"a","standing":true}`), ModRevision: 7})
 	if j := s.jobs["req-000010"]; j.doneCount != 11 || !j.isDurable(10) || j.isDurable(11) {
-		t.Errorf("%d of 11 finished tasks read", j.doneCount)
+		t.Errorf("got %d finished tasks, want 11, with task 10 durable and task 11 not", j.doneCount)
 	}
 	if m := s.machines["n-7"]; m == nil || !m.registered || !m.preexisting {
-		t.Errorf("a machine's own key: %+v", m)
+		t.Errorf("machine n-7: got %+v, want a registered pre-existing machine", m)
 	}
 }
 
-// TestKnowsNewestVersion: a controller's note counts once it has had the time to say
-// otherwise. What it says counts at once, and takes an outdated note away for
-// the leaders to come, which have not heard it.
+// TestKnowsNewestVersion checks that a controller's stored version counts only after the
+// controller has had time to send a message with another one. A message counts at once,
+// and removes an outdated stored version, because later leaders don't have the message.
 func TestKnowsNewestVersion(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		note        int           // the version that it has noted
-		says        int           // the version that it says afterwards; -1: nothing
-		ago         time.Duration // since then
-		elected     time.Duration // how long ago this leader was
-		known, kept bool
+		name          string
+		stored        int           // stored version; 0: none
+		reported      int           // version in a later message; -1: no message
+		sinceReport   time.Duration // time since that message
+		sinceElection time.Duration // time since this leader's election
+		known, kept   bool          // the newest version is known; the stored version is kept
 	}{
-		{"it says so", 0, versionGangs, time.Second, time.Second, true, true},
-		{"it has said so and is out of reach", 0, versionGangs, time.Minute, time.Minute, true, true},
-		{"nothing is known of it", 0, -1, 0, time.Minute, false, true},
-		{"only its note, and it may yet be heard", versionGangs, -1, 0, time.Second, false, true},
-		{"only its note, and it is out of reach", versionGangs, -1, 0, time.Minute, true, true},
-		{"it was changed back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
+		{"a recent message with the newest version", 0, versionGangs, time.Second, time.Second, true, true},
+		{"an old message with the newest version, and it is unreachable", 0, versionGangs, time.Minute, time.Minute, true, true},
+		{"neither a message nor a stored version", 0, -1, 0, time.Minute, false, true},
+		{"only its stored version, and a message may still come", versionGangs, -1, 0, time.Second, false, true},
+		{"only its stored version, and it is unreachable", versionGangs, -1, 0, time.Minute, true, true},
+		{"it was rolled back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSingleController()
@@ -248,28 +251,29 @@
 			s.loaded, s.hasContact, s.caughtUp, s.leadership = true, true, true, newLeadership(s)
 			s.now = 10 * time.Minute
 			s.leadership.RecordPromise(s.now, "n0", s.now)
-			s.electedAt = s.now - c.elected
-			if c.note > 0 {
-				s.apply(Item{Key: prefixVersions + "n1", Value: mustMarshal(controllerVersionValue{c.note}), ModRevision: 5})
+			s.electedAt = s.now - c.sinceElection
+			if c.stored > 0 {
+				s.apply(Item{Key: prefixVersions + "n1", Value: mustMarshal(controllerVersionValue{c.stored}), ModRevision: 5})
 			}
-			if c.says >= 0 {
-				s.handlePeerVersion("n1", c.says)
-				s.peers["n1"].heardAt = s.now - c.ago
+			if c.reported >= 0 {
+				s.handlePeerVersion("n1", c.reported)
+				s.peers["n1"].heardAt = s.now - c.sinceReport
 			}
 			if got := s.knowsNewestVersion(s.peers["n1"]); got != c.known {
-				t.Errorf("counts as knowing the newest version: %v, want %v", got, c.known)
+				t.Errorf("got newest version known %v, want %v", got, c.known)
 			}
 			removed := slices.ContainsFunc(s.queue, func(w *write) bool { return w.change.Remove && w.change.Key == prefixVersions+"n1" })
 			if removed == c.kept {
-				t.Errorf("the note is taken away: %v, want %v", removed, !c.kept)
+				t.Errorf("got stored version removed %v, want %v", removed, !c.kept)
 			}
 		})
 	}
 }
 
-// TestBitmapsInParts: where values are small, a large job's finished tasks are
-// kept in parts once all versions read them; before, the first part alone is
-// written, which is the former form, and never over a larger one.
+// TestBitmapsInParts checks that, where values are small, the bitmap of a large job's
+// finished tasks is stored in parts once every controller can read parts. Before that,
+// only the first part is written, in the format of the previous version, and it never
+// replaces a larger value.
 func TestBitmapsInParts(t *testing.T) {
 	const tasks = 30000
 	leader := func(version int) (*State, *job) {
@@ -295,22 +299,22 @@
 		}
 		out := write(s, j)
 		if len(out) != c.parts {
-			t.Errorf("version %d: %d values, want %d", c.version, len(out), c.parts)
+			t.Errorf("version %d: got %d values, want %d", c.version, len(out), c.parts)
 		}
-		again, k := leader(c.version)
-		stamp := uint64(6)
+		reader, rereadJob := leader(c.version)
+		revision := uint64(6)
 		for _, key := range slices.Sorted(maps.Keys(out)) {
 			if len(out[key]) > 2048 {
-				t.Errorf("version %d: %s has %d bytes", c.version, key, len(out[key]))
+				t.Errorf("version %d: %s: got %d bytes, want at most 2048", c.version, key, len(out[key]))
 			}
-			stamp++
-			again.apply(Item{Key: key, Value: out[key], ModRevision: stamp})
+			revision++
+			reader.apply(Item{Key: key, Value: out[key], ModRevision: revision})
 		}
-		if want := tasks; c.version == versionGangs && k.doneCount != want || c.version == versionFirst && (k.doneCount < 10000 || k.doneCount == want) {
-			t.Errorf("version %d: %d of %d finished tasks read back", c.version, k.doneCount, tasks)
+		if want := tasks; c.version == versionGangs && rereadJob.doneCount != want || c.version == versionFirst && (rereadJob.doneCount < 10000 || rereadJob.doneCount == want) {
+			t.Errorf("version %d: got %d of %d finished tasks read back, want all with parts, else at least 10000 but not all", c.version, rereadJob.doneCount, tasks)
 		}
 	}
-	// A larger value of the former version stands until it can be kept in parts.
+	// A larger value of the previous version stays until it can be stored in parts.
 	s, j := leader(versionFirst)
 	big := make([]byte, tasks/8)
 	for i := range big {
@@ -318,15 +322,16 @@
 	}
 	s.apply(Item{Key: prefixProgress + "req-000001/0", Value: mustMarshal(map[string][]byte{"b": big}), ModRevision: 6})
 	if j.doneCount != tasks/8*8 {
-		t.Fatalf("%d finished tasks read from the large value", j.doneCount)
+		t.Fatalf("got %d finished tasks from the large value, want all of its bits", j.doneCount)
 	}
 	if out := write(s, j); len(out) != 0 {
-		t.Errorf("%d values written over the larger one", len(out))
+		t.Errorf("got %d values written over the larger one, want none", len(out))
 	}
 }
 
-// TestOversizedPageIsSplit: a page of the roster that a former version left larger
-// than values may be now is spread over others, which are written before it.
+// TestOversizedPageIsSplit checks that a registry page that a previous version left
+// larger than values may be now is split over other pages, and that those are written
+// before it. Otherwise a machine could be on no stored page for a while.
 func TestOversizedPageIsSplit(t *testing.T) {
 	s := newSingleController()
 	s.cfg.MaxValueBytes, s.cfg.MaxTxnOps = 2048, 4
@@ -339,9 +344,9 @@
 	s.leadership, s.caughtUp = newLeadership(s), true
 	s.takeOver()
 	s.page(1).dirty = true
-	at := map[string]int{} // machine: page, as stored
+	storedPages := map[string]int{} // by machine: its stored page
 	for host := range hosts {
-		at[host] = 1
+		storedPages[host] = 1
 	}
 	for now := time.Second; now < 30*time.Second && len(s.pageHosts) < 6; now += time.Second {
 		s.now = now
@@ -350,46 +355,46 @@
 		s.storeRate.SetBurst(1000)
 		s.writeRate.SetBurst(1000)
 		for s.sendNextTxn(); ; s.sendNextTxn() {
-			c, ok := findStoreCall(s.effects, StoreTxn)
+			call, ok := findStoreCall(s.effects, StoreTxn)
 			s.effects = nil
 			if !ok {
 				break
 			}
-			if len(c.Changes) > 4 {
-				t.Errorf("%d changes in a transaction", len(c.Changes))
+			if len(call.Changes) > 4 {
+				t.Errorf("got %d changes in a transaction, want at most 4", len(call.Changes))
 			}
-			for _, ch := range c.Changes {
-				if len(ch.Value) > 2048 {
-					t.Errorf("%s has %d bytes", ch.Key, len(ch.Value))
+			for _, change := range call.Changes {
+				if len(change.Value) > 2048 {
+					t.Errorf("%s: got %d bytes, want at most 2048", change.Key, len(change.Value))
 				}
-				var v map[string]machineRecord
-				if json.Unmarshal(ch.Value, &v) != nil {
-					t.Fatalf("%s: %s", ch.Key, ch.Value)
+				var page map[string]machineRecord
+				if json.Unmarshal(change.Value, &page) != nil {
+					t.Fatalf("%s: got value %s, want a registry page", change.Key, change.Value)
 				}
-				if ch.Key == prefixPages+"1" {
+				if change.Key == prefixPages+"1" {
 					for host := range hosts {
-						if _, on := v[host]; !on && at[host] == 1 {
-							t.Errorf("%s is on no page", host)
+						if _, listed := page[host]; !listed && storedPages[host] == 1 {
+							t.Errorf("machine %s: got no stored page, want one", host)
 						}
 					}
 				}
-				for host := range v {
-					at[host] = int(ch.Key[len(ch.Key)-1] - '0')
+				for host := range page {
+					storedPages[host] = int(change.Key[len(change.Key)-1] - '0')
 				}
 			}
-			s.completeCall(c.CallID, StoreResult{CallID: c.CallID, Status: 200, Revision: 100 + s.lastCallID})
+			s.completeCall(call.CallID, StoreResult{CallID: call.CallID, Status: 200, Revision: 100 + s.lastCallID})
 		}
 	}
-	pages := map[int]int{}
-	for _, n := range at {
-		pages[n]++
+	machinesByPage := map[int]int{}
+	for _, page := range storedPages {
+		machinesByPage[page]++
 	}
-	if len(pages) < 4 || pages[1] == 40 {
-		t.Errorf("machines by page: %v", pages)
+	if len(machinesByPage) < 4 || machinesByPage[1] == 40 {
+		t.Errorf("got machines by page %v, want at least 4 pages and not all machines on page 1", machinesByPage)
 	}
 	for host := range hosts {
-		if m := s.machines[host]; m == nil || !m.registered || m.page != at[host] || m.storedPage != at[host] {
-			t.Errorf("%s: wanted and stored on page %d, kept as %+v", host, at[host], m)
+		if m := s.machines[host]; m == nil || !m.registered || m.page != storedPages[host] || m.storedPage != storedPages[host] {
+			t.Errorf("machine %s: want registered on page %d, planned and stored, got %+v", host, storedPages[host], m)
 		}
 	}
 }
