--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -27,10 +27,10 @@
 		s.advanceCampaign()
 		return
 	}
-	if s.now < s.campaignAt || s.now < s.noCampaignUntil || !s.isStoreReachable() || s.leaderNode != "" {
+	if s.now < s.campaignAt || s.now < s.noCampaignUntil || !s.isStoreReachable() || s.leaderName != "" {
 		return
 	}
-	if node, inForce := s.voter.PromisedTo(s.now); inForce && node != s.cfg.Self {
+	if supported, inForce := s.voter.PromisedTo(s.now); inForce && supported != s.cfg.Self {
 		return
 	}
 	if s.steppedDownUnreached && s.now-s.leaderKeyGoneAt < s.cfg.Lease/4 {
@@ -172,13 +172,13 @@
 // another candidate.
 func (s *State) recordVoteRefusal(peer *peerState) {
 	peer.refusedTerm = s.leadership.Term
-	possibleVotes := s.electionConfig.Nodes
+	possibleVotes := s.electionConfig.Controllers
 	for _, other := range s.peers {
 		if other.refusedTerm == s.leadership.Term {
 			possibleVotes--
 		}
 	}
-	if possibleVotes < s.electionConfig.Nodes/2+1 {
+	if possibleVotes < s.electionConfig.Controllers/2+1 {
 		s.stepDown("refused by the others")
 	}
 }
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -120,11 +120,11 @@
 	if s.leadership != nil && s.electedAt != 0 {
 		return s.cfg.Self
 	}
-	if node, inForce := s.voter.PromisedTo(s.now); inForce && node != s.cfg.Self {
-		return node
+	if supported, inForce := s.voter.PromisedTo(s.now); inForce && supported != s.cfg.Self {
+		return supported
 	}
-	if s.leaderNode != s.cfg.Self {
-		return s.leaderNode
+	if s.leaderName != s.cfg.Self {
+		return s.leaderName
 	}
 	return ""
 }
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -30,7 +30,7 @@
 	if s.isCutFromWorkers() {
 		s.noCampaignUntil = s.now + s.cfg.Lease
 		s.steppedDownUnreached = true
-		s.stepDown("no worker reaches this node")
+		s.stepDown("no worker reaches this controller")
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 		s.renewalInFlight = true
 		leaseID, ownModRevision := result.Lease, uint64(0)
-		if s.leaderTerm == leadership.Term && s.leaderNode == s.cfg.Self {
+		if s.leaderTerm == leadership.Term && s.leaderName == s.cfg.Self {
 			ownModRevision = s.leaderModRevision // created by an earlier attempt whose answer was lost
 		}
 		s.callStore(StoreCall{
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -44,11 +44,11 @@
 	termModRevision   uint64
 	termWinner        string // controller that won the term
 	term              uint64
-	leaderNode        string
+	leaderName        string
 	leaderTerm        uint64
 	leaderLease       uint64
 	leaderModRevision uint64
-	leaderKeyGoneAt   time.Duration // when the last change of the leader key was applied
+	leaderKeyGoneAt   time.Duration // when the leader key last changed; if it is gone, when it went
 	typesModRevision  uint64
 	clusterVersion    int // version that the whole cluster uses: see version.go
 }
@@ -155,7 +155,8 @@
 
 // dropTombstones forgets removed keys, so that memory does not grow with every
 // machine and job that ever existed. A tombstone prevents an outdated answer from
-// restoring its key. It is no longer needed when no request is in flight.
+// restoring its key. It is no longer needed when no request is in flight that could
+// bring such an answer.
 func (s *State) dropTombstones() {
 	if s.readInFlight || s.txnInFlight || s.loading {
 		return
@@ -212,7 +213,7 @@
 	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, Timeout: time.Second}, func(result StoreResult) {
 		s.readInFlight = false
 		// The reads are spaced so that polls alone cannot use up the request rate.
-		s.nextReadAt = sentAt + time.Duration(float64(4*s.electionConfig.Nodes)/s.cfg.StoreRPS*float64(time.Second))
+		s.nextReadAt = sentAt + time.Duration(float64(4*s.electionConfig.Controllers)/s.cfg.StoreRPS*float64(time.Second))
 		s.finishReads(reads, s.applyWatchResult(result, sentAt))
 	})
 }
@@ -246,17 +247,17 @@
 	case item.Key == keyTerm:
 		var value termValue
 		if json.Unmarshal(item.Value, &value) == nil {
-			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Node
+			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Controller
 			s.acknowledgeUpTo(item.ModRevision) // the winner reads all earlier changes before it acts
 		}
 		s.stepDownIfSuperseded()
 	case item.Key == keyLeader:
-		s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
+		s.leaderName, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
 		s.leaderKeyGoneAt = s.now
 		if !item.Removed {
 			var value leaderValue
 			if json.Unmarshal(item.Value, &value) == nil {
-				s.leaderNode, s.leaderTerm, s.leaderLease, s.leaderModRevision = value.Node, value.Term, value.Lease, item.ModRevision
+				s.leaderName, s.leaderTerm, s.leaderLease, s.leaderModRevision = value.Controller, value.Term, value.Lease, item.ModRevision
 			}
 		}
 	case item.Key == keyClusterVersion:
@@ -290,14 +291,14 @@
 
 // leaderValue is the value of the leader key. The key exists as long as Lease does.
 type leaderValue struct {
-	Node  string `json:"node"`
-	Term  uint64 `json:"term"`
-	Lease uint64 `json:"grant,omitempty"`
+	Controller string `json:"node"`
+	Term       uint64 `json:"term"`
+	Lease      uint64 `json:"grant,omitempty"`
 }
 
 // termValue is the value of the term key: the last term that was won, and the
 // controller that won it.
 type termValue struct {
-	Term uint64 `json:"term"`
-	Node string `json:"node,omitempty"`
+	Term       uint64 `json:"term"`
+	Controller string `json:"node,omitempty"`
 }
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -41,12 +41,12 @@
 // in the package election: this process has read the modification revision of the term
 // key since its start, and the holder of that term is this controller's own previous
 // incarnation or has said that it relies on no earlier promise.
-func (s *State) preapprove(node string, term, termModRevision uint64) {
+func (s *State) preapprove(candidate string, term, termModRevision uint64) {
 	if s.voter.CanPromise(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
 	}
 	if holder := s.peers[s.termWinner]; s.termModRevision == 0 || s.termWinner == s.cfg.Self || holder != nil && holder.releasedOurPromises {
-		s.voter.Preapprove(node, term)
+		s.voter.Preapprove(candidate, term)
 	}
 }
 
@@ -55,7 +55,7 @@
 // any more, and if the others waited for their expiry, the workers would lose their
 // leases.
 func (s *State) releasePreviousIncarnation() {
-	if s.leaderNode != s.cfg.Self || s.leadership != nil {
+	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
 	}
 	if s.leaderLease != 0 {
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -41,7 +41,7 @@
 	leadState
 	versionState
 
-	// The state below belongs to the leader and is reset when a term begins.
+	// These hold the leader's state, which is reset when a term begins.
 	takeoverState
 	dispatchState
 	reportState
@@ -74,11 +74,11 @@
 // New creates the state of a controller that starts at now.
 func New(cfg Config, now time.Duration) *State {
 	duration := promiseDuration(cfg)
-	ecf := election.Config{Self: cfg.Self, Nodes: len(cfg.Peers) + 1, KeyTTL: duration, PromiseDuration: duration, ClockDrift: ClockDrift,
+	electionConfig := election.Config{Self: cfg.Self, Controllers: len(cfg.Peers) + 1, KeyTTL: duration, PromiseDuration: duration, ClockDrift: ClockDrift,
 		MaxStaleness: maxViewAge(cfg), ReadLeaseDuration: cfg.CancelWithin}
-	nodes := float64(ecf.Nodes)
+	controllers := float64(electionConfig.Controllers)
 	s := &State{
-		cfg: cfg, electionConfig: ecf, now: now, startedAt: now,
+		cfg: cfg, electionConfig: electionConfig, now: now, startedAt: now,
 		random:       rand.New(rand.NewPCG(cfg.Incarnation, uint64(len(cfg.Self)))),
 		pendingCalls: map[uint64]func(any){},
 		types:        map[string]*model.MachineType{},
@@ -87,13 +87,13 @@
 		machines:     map[string]*machine{},
 		// Each controller limits itself to its share of the rate, so that a
 		// burst on one does not get another's requests refused.
-		storeRate: rate.NewLimiter(rate.Limit(cfg.StoreRPS*0.95/nodes), max(1, int(cfg.StoreRPS*0.95/nodes))),
+		storeRate: rate.NewLimiter(rate.Limit(cfg.StoreRPS*0.95/controllers), max(1, int(cfg.StoreRPS*0.95/controllers))),
 		writeRate: rate.NewLimiter(1, 1),
 		cloudRate: rate.NewLimiter(rate.Limit(cfg.CloudRPS*0.8), max(1, int(cfg.CloudRPS*0.8))),
 	}
 	s.setWriteRate(false)
 	s.replica.init()
-	s.voter = election.NewVoter(ecf, now)
+	s.voter = election.NewVoter(electionConfig, now)
 	s.peers = map[string]*peerState{}
 	for _, peer := range cfg.Peers {
 		s.peers[peer] = &peerState{}
@@ -104,7 +104,7 @@
 	s.watched = map[string]*cancellationRecord{}
 	s.pageHosts = map[int][]string{}
 	// Controllers that start together must not all campaign at the same instant.
-	s.campaignAt = now + time.Duration(s.random.Float64()*float64(ecf.PromiseDuration)/8)
+	s.campaignAt = now + time.Duration(s.random.Float64()*float64(electionConfig.PromiseDuration)/8)
 	return s
 }
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -104,8 +104,8 @@
 type Effect any
 
 // Tick starts the time-driven work. WallMs is the wall-clock time in milliseconds.
-// It is used for the ages of jobs and of records in the state service, never to
-// decide which controller may act as leader.
+// It is used for the ages of jobs and of unresponsive marks in the machine registry,
+// never to decide which controller may act as leader.
 type Tick struct{ WallMs int64 }
 
 // Submit is a user's submission, whose form the package api has checked. WallMs is
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -52,17 +52,17 @@
 
 // applyControllerVersion applies a controller's stored version. The latest information
 // counts, whether it is the stored version or a message from the controller.
-func (s *State) applyControllerVersion(node string, item Item) {
+func (s *State) applyControllerVersion(controller string, item Item) {
 	var value controllerVersionValue
 	if !item.Removed && json.Unmarshal(item.Value, &value) != nil {
-		s.log(slog.LevelError, "stored version of a controller cannot be decoded", "controller", node)
+		s.log(slog.LevelError, "stored version of a controller cannot be decoded", "controller", controller)
 		return
 	}
-	if node == s.cfg.Self {
+	if controller == s.cfg.Self {
 		s.storedOwnVersion, s.ownVersionStored = value.Version, s.ownVersionStored && !item.Removed
 		return
 	}
-	if peer := s.peers[node]; peer != nil {
+	if peer := s.peers[controller]; peer != nil {
 		peer.versionStored = !item.Removed
 		if peer.versionStored {
 			peer.version = value.Version
@@ -99,16 +99,16 @@
 // rolled back, the leader removes its stored version, which no longer holds. A late
 // message from its previous incarnation may cause that wrongly, but costs no more than
 // the stored version.
-func (s *State) handlePeerVersion(node string, version int) {
-	peer := s.peers[node]
+func (s *State) handlePeerVersion(controller string, version int) {
+	peer := s.peers[controller]
 	peer.version = version
 	if version >= s.cfg.Version || !peer.versionStored || !s.IsLeader() {
 		return
 	}
 	peer.versionStored = false
-	s.log(slog.LevelInfo, "a controller was rolled back to a previous version", "controller", node, "version", version)
+	s.log(slog.LevelInfo, "a controller was rolled back to a previous version", "controller", controller, "version", version)
 	s.queueWrite(&write{
-		change: Change{Key: prefixVersions + node, Remove: true}, leaderTerm: s.leadership.Term,
+		change: Change{Key: prefixVersions + controller, Remove: true}, leaderTerm: s.leadership.Term,
 		deadline: s.now + time.Hour, class: classRegistry, done: func(outcome) {},
 	})
 }
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -131,8 +131,8 @@
 			s.apply(Item{Key: sample.name, Value: json.RawMessage(sample.fields), ModRevision: revision})
 		}
 	}
-	if s.clusterVersion != versionGangs || s.term != 10 || s.leaderNode != "n2" {
-		t.Errorf("got cluster version %d, term %d, leader %s, want the version with gangs, term 10, leader n2", s.clusterVersion, s.term, s.leaderNode)
+	if s.clusterVersion != versionGangs || s.term != 10 || s.leaderName != "n2" {
+		t.Errorf("got cluster version %d, term %d, leader %s, want the version with gangs, term 10, leader n2", s.clusterVersion, s.term, s.leaderName)
 	}
 	if g := s.jobs["req-300001"]; g == nil || g.Kind != model.KindGang || g.Tasks != 6 || g.CheckpointEveryS != 5 || g.CheckpointCostS != 2 || s.active[g.ID] != g {
 		t.Errorf("req-300001: got %+v, want an active gang of 6 tasks with a checkpoint every 5 s at a cost of 2 s", g)
@@ -200,8 +200,8 @@
 	if j := s.jobs["req-000009"]; j == nil || j.phase != model.PhaseAborted {
 		t.Errorf("req-000009: got %+v, want a cancelled job", j)
 	}
-	if s.term != 3 || s.leaderNode != "n0" || s.leaderLease != 3 || len(s.typeList) != 1 || s.types["small"].CacheGB != 20 {
-		t.Errorf("got term %d, leader %s with lease %d, %d types, want term 3, leader n0 with lease 3, 1 type with 20 GB of cache", s.term, s.leaderNode, s.leaderLease, len(s.typeList))
+	if s.term != 3 || s.leaderName != "n0" || s.leaderLease != 3 || len(s.typeList) != 1 || s.types["small"].CacheGB != 20 {
+		t.Errorf("got term %d, leader %s with lease %d, %d types, want term 3, leader n0 with lease 3, 1 type with 20 GB of cache", s.term, s.leaderName, s.leaderLease, len(s.typeList))
 	}
 	for _, m := range s.machines {
 		if !m.registered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -70,10 +70,10 @@
 // leader gets the largest share for its bulk of changes; the others only write what
 // users request of them.
 func (s *State) setWriteRate(leading bool) {
-	nodes := float64(s.electionConfig.Nodes)
-	share := 1 / (2 * nodes)
+	controllers := float64(s.electionConfig.Controllers)
+	share := 1 / (2 * controllers)
 	if leading {
-		share = 1 - share*(nodes-1)
+		share = 1 - share*(controllers-1)
 	}
 	rps := s.cfg.StoreWriteRPS * 0.95 * share
 	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(rps))
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -3,16 +3,16 @@
 //
 // The leader of a term may act while at least one of two conditions holds:
 // (A) its leased key in the state service certainly exists, or (B) a majority
-// of all controllers has promised to support no other node. Both are counted
+// of all controllers has promised to support no other. Both are counted
 // from the sending of the request that obtained them, and both are shortened
 // by the clock drift. A candidate first needs promises from a majority and
 // then creates the key, on the precondition that the term key is unchanged.
 // A voter that has promised to support the former leader gives no other
 // promise until that one has expired. Any two majorities share a voter, so a
-// candidate's majority includes one whose promise to the former leader is
+// candidate's majority includes a voter whose promise to the former leader is
 // over. The key can be created only after the former leader's lease has
-// ended. A right to act that has expired does not come back: the node must
-// win a new term.
+// ended. A right to act that has expired does not come back: the controller
+// must win a new term.
 //
 // A process forgets its promises when it ends. After a start the voter
 // therefore waits until the longest promise of its previous incarnation has
@@ -29,8 +29,8 @@
 // another controller may confirm cancellations that the leader does not learn
 // of. The leader's view may therefore be no older than Config.MaxStaleness.
 // For each of the other controllers, the age is counted from the last read of
-// the state service, or from the end of a read lease that this controller has
-// granted. While a read lease is in force, its grantor confirms no cancellation
+// the state service, or from the end of the read lease that it has granted to
+// the leader. While a read lease is in force, its grantor confirms no cancellation
 // that the leader has not acknowledged (as with quorum leases, whose holders
 // are informed before a write is confirmed). Once the view is older, the leader
 // may not act, whoever supports it.
@@ -44,7 +44,7 @@
 // Config holds the durations of the election. All are derived from the settings.
 type Config struct {
 	Self            string
-	Nodes           int           // number of controllers, including this one
+	Controllers     int           // number of controllers, including this one
 	KeyTTL          time.Duration // duration of the leader key's lease in the state service
 	PromiseDuration time.Duration // how long a promise binds its voter
 	ClockDrift      float64       // relative drift between two monotonic clocks
@@ -57,13 +57,13 @@
 type Voter struct {
 	cfg              Config
 	startupWaitUntil time.Duration // promises of the previous incarnation may bind until then
-	promisedTo       string
-	term             uint64
-	promisedUntil    time.Duration
-	highestTerm      uint64 // highest term ever supported
+	promisedTo       string        // controller that the last promise supports
+	term             uint64        // term of the last promise
+	promisedUntil    time.Duration // end of the last promise
+	highestTerm      uint64        // highest term ever supported
 	// The candidate that may be supported during the startup wait.
-	preapprovedNode string
-	preapprovedTerm uint64
+	preapprovedController string
+	preapprovedTerm       uint64
 	// readTerm is the highest term whose leader this incarnation has granted a
 	// read lease, readUntil the end of the last one. A read lease that the
 	// previous incarnation granted may bind until previousReadUntil, and its
@@ -104,10 +104,10 @@
 	return now < v.previousReadUntil && v.previousReadTerm >= term || now < v.readUntil && v.readTerm >= term
 }
 
-// Preapprove lets the voter support node's campaign for term during the startup
-// wait. The caller has checked the two conditions in the package comment.
-func (v *Voter) Preapprove(node string, term uint64) {
-	v.preapprovedNode, v.preapprovedTerm = node, term
+// Preapprove lets the voter support the controller's campaign for term during the
+// startup wait. The caller has checked the two conditions in the package comment.
+func (v *Voter) Preapprove(controller string, term uint64) {
+	v.preapprovedController, v.preapprovedTerm = controller, term
 }
 
 // lengthenForDrift returns how long a voter or grantor must keep an obligation of
@@ -116,29 +116,29 @@
 	return d + time.Duration(float64(d)*2*c.ClockDrift) + time.Millisecond
 }
 
-// Grant promises to support node in term and returns true, unless the startup
-// wait, a promise to another node or a higher term forbids that.
-func (v *Voter) Grant(now time.Duration, node string, term uint64) bool {
-	if now < v.startupWaitUntil && (node != v.preapprovedNode || term != v.preapprovedTerm) || term < v.highestTerm {
+// Grant promises to support the controller in term and returns true, unless the
+// startup wait, a promise to another controller or a higher term forbids that.
+func (v *Voter) Grant(now time.Duration, controller string, term uint64) bool {
+	if now < v.startupWaitUntil && (controller != v.preapprovedController || term != v.preapprovedTerm) || term < v.highestTerm {
 		return false
 	}
-	if node != v.promisedTo && now < v.promisedUntil {
+	if controller != v.promisedTo && now < v.promisedUntil {
 		return false
 	}
-	v.promisedTo, v.term, v.highestTerm = node, term, term
+	v.promisedTo, v.term, v.highestTerm = controller, term, term
 	v.promisedUntil = now + v.cfg.lengthenForDrift(v.cfg.PromiseDuration)
 	return true
 }
 
-// Release ends the promise to node early. The node has said that it no longer
-// acts in any term up to and including term.
-func (v *Voter) Release(node string, term uint64) {
-	if v.promisedTo == node && v.term <= term {
+// Release ends the promise to the controller early. The controller has said that it
+// no longer acts in any term up to and including term.
+func (v *Voter) Release(controller string, term uint64) {
+	if v.promisedTo == controller && v.term <= term {
 		v.promisedUntil = 0
 	}
 }
 
-// PromisedTo returns the node that this voter last promised to support, and
+// PromisedTo returns the controller that this voter last promised to support, and
 // whether that promise is in force at now.
 func (v *Voter) PromisedTo(now time.Duration) (string, bool) {
 	return v.promisedTo, now < v.promisedUntil
@@ -185,19 +185,19 @@
 	t.updateViewValidity()
 }
 
-// RecordReadLease records a read lease that node has granted and that was
-// requested at requestedAt. grantorStartedAt is the latest time at which the
+// RecordReadLease records a read lease that another controller has granted and
+// that was requested at requestedAt. grantorStartedAt is the latest time at which the
 // grantor's process can have started. grantorLoaded means that the grantor has
 // read the whole state since its start, and so has also reported what its
 // previous incarnation confirmed. If it has not, the lease is ignored when the
 // grantor may have started after both the last read and the end of its previous
 // read lease: no other controller can report what the previous incarnation
 // confirmed in between.
-func (t *Leadership) RecordReadLease(node string, requestedAt, grantorStartedAt time.Duration, grantorLoaded bool) {
-	if !grantorLoaded && grantorStartedAt > max(t.lastReadAt, t.readLeasesUntil[node]) {
+func (t *Leadership) RecordReadLease(controller string, requestedAt, grantorStartedAt time.Duration, grantorLoaded bool) {
+	if !grantorLoaded && grantorStartedAt > max(t.lastReadAt, t.readLeasesUntil[controller]) {
 		return
 	}
-	t.readLeasesUntil[node] = max(t.readLeasesUntil[node], requestedAt+t.shortenForDrift(t.cfg.ReadLeaseDuration))
+	t.readLeasesUntil[controller] = max(t.readLeasesUntil[controller], requestedAt+t.shortenForDrift(t.cfg.ReadLeaseDuration))
 	t.updateViewValidity()
 }
 
@@ -205,7 +205,7 @@
 // leases count only if every other controller has granted one.
 func (t *Leadership) updateViewValidity() {
 	viewedAt := t.lastReadAt
-	if len(t.readLeasesUntil) == t.cfg.Nodes-1 && t.cfg.Nodes > 1 {
+	if len(t.readLeasesUntil) == t.cfg.Controllers-1 && t.cfg.Controllers > 1 {
 		first := true
 		for _, until := range t.readLeasesUntil {
 			if first || until < viewedAt {
@@ -220,24 +220,23 @@
 // ViewValidUntil returns the time until which the leader's view is recent enough.
 func (t *Leadership) ViewValidUntil() time.Duration { return t.viewValidUntil }
 
-// RecordPromise records a promise by node that was requested at
-// requestedAt.
-func (t *Leadership) RecordPromise(now time.Duration, node string, requestedAt time.Duration) {
+// RecordPromise records a controller's promise that was requested at requestedAt.
+func (t *Leadership) RecordPromise(now time.Duration, controller string, requestedAt time.Duration) {
 	// A promise that an earlier campaign requested doesn't count: its voter may
 	// have been released from it since.
 	if t.expireIfDue(now) || requestedAt < t.campaignStartedAt {
 		return
 	}
-	if previous, ok := t.promises[node]; !ok || requestedAt > previous {
-		t.promises[node] = requestedAt
+	if previous, ok := t.promises[controller]; !ok || requestedAt > previous {
+		t.promises[controller] = requestedAt
 		t.majorityUntil = t.computeMajorityUntil()
 	}
 }
 
-// ConfirmElection records that the leader key was created for this term,
-// under a lease that was requested at leaseRequestedAt. It returns false, and ends
-// the campaign, if the majority of promises has expired meanwhile: without it
-// nothing shows that the former leader has stopped.
+// ConfirmElection records that the leader key was created for this term, under a
+// lease that was requested at leaseRequestedAt. If the majority of promises has
+// expired meanwhile, it ends the campaign and returns false: without them nothing
+// shows that the former leader has stopped.
 func (t *Leadership) ConfirmElection(now, leaseRequestedAt time.Duration) bool {
 	if t.ended || now >= t.majorityUntil {
 		t.ended = true
@@ -250,8 +249,8 @@
 	return true
 }
 
-// RecordRenewal records that the leader key was renewed by a request
-// that was sent at requestedAt.
+// RecordRenewal records that the leader key was renewed by a request that was sent
+// at requestedAt.
 func (t *Leadership) RecordRenewal(now, requestedAt time.Duration) {
 	if t.expireIfDue(now) {
 		return
@@ -265,7 +264,7 @@
 func (t *Leadership) RecordKeyLoss() { t.hasKey = false }
 
 // shortenForDrift returns how long a holder may rely on an obligation of duration
-// d, so that it ends before d on the clock of the node that gave it.
+// d, so that it ends before d on the clock of the controller that gave it.
 func (t *Leadership) shortenForDrift(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*t.cfg.ClockDrift) - time.Millisecond
 }
@@ -281,7 +280,7 @@
 // computeMajorityUntil returns until when promises of a majority are in force, or
 // 0 without a majority.
 func (t *Leadership) computeMajorityUntil() time.Duration {
-	quorum := t.cfg.Nodes/2 + 1
+	quorum := t.cfg.Controllers/2 + 1
 	if len(t.promises) < quorum {
 		return 0
 	}
@@ -309,7 +308,7 @@
 		return 0
 	}
 	until := max(t.KeyValidUntil(), t.majorityUntil)
-	if t.cfg.MaxStaleness > 0 && t.cfg.Nodes > 1 {
+	if t.cfg.MaxStaleness > 0 && t.cfg.Controllers > 1 {
 		until = min(until, t.viewValidUntil)
 	}
 	return until
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var cfg = Config{Self: "a", Nodes: 3, KeyTTL: 3 * time.Second, PromiseDuration: 3 * time.Second, ClockDrift: 0.0005}
+var cfg = Config{Self: "a", Controllers: 3, KeyTTL: 3 * time.Second, PromiseDuration: 3 * time.Second, ClockDrift: 0.0005}
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
@@ -35,12 +35,12 @@
 		{5100, "b", 6, true, "the promise to a has expired"},
 		{5200, "a", 5, false, "the term is lower"},
 		{9000, "a", 5, false, "the term is lower, though no promise is in force"},
-		{9000, "a", 6, true, "the promise to b has expired, and only one node can win the key of a term"},
+		{9000, "a", 6, true, "the promise to b has expired, and only one controller can win the key of a term"},
 		{9100, "b", 7, false, "the term is higher, but the promise to a is in force"},
 	}
 	for _, step := range steps {
 		if got := v.Grant(ms(step.at), step.node, step.term); got != step.want {
-			t.Errorf("at %d ms, node %s, term %d: got promise %v, want %v: %s", step.at, step.node, step.term, got, step.want, step.why)
+			t.Errorf("at %d ms, controller %s, term %d: got promise %v, want %v: %s", step.at, step.node, step.term, got, step.want, step.why)
 		}
 	}
 }
