--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -224,6 +224,7 @@
 	return reads
 }
 
+// finishReads calls the callbacks of linearizable reads.
 func (s *State) finishReads(reads []func(bool), ok bool) {
 	for _, done := range reads {
 		done(ok)
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -191,6 +191,8 @@
 	return s.lastCallID
 }
 
+// completeCall passes the result of a call to its callback. Results of unknown calls are
+// ignored.
 func (s *State) completeCall(callID uint64, result any) {
 	done, ok := s.pendingCalls[callID]
 	if !ok {
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -152,14 +152,14 @@
 
 // transact sends a transaction and handles its result. requiresLeadership adds the
 // precondition that this leader's term is still the last one.
-func (s *State) transact(batch []*write, requiresLeadership bool) {
+func (s *State) transact(writes []*write, requiresLeadership bool) {
 	s.txnInFlight = true
 	call := StoreCall{Op: StoreTxn, Timeout: time.Second}
 	if requiresLeadership {
 		// No transaction of a former leader may succeed, however late it arrives.
 		call.Preconditions = append(call.Preconditions, Precondition{keyTerm, s.termModRevision})
 	}
-	for _, w := range batch {
+	for _, w := range writes {
 		call.Preconditions = append(call.Preconditions, Precondition{w.change.Key, w.modRevision})
 		call.Changes = append(call.Changes, w.change)
 		call.Changes = append(call.Changes, w.alsoRemove...)
@@ -168,7 +168,7 @@
 		s.txnInFlight = false
 		switch result.Status {
 		case 200:
-			for _, w := range batch {
+			for _, w := range writes {
 				s.apply(Item{Key: w.change.Key, Value: w.change.Value, ModRevision: result.Revision, Removed: w.change.Remove})
 				for _, change := range w.alsoRemove {
 					s.apply(Item{Key: change.Key, ModRevision: result.Revision, Removed: true})
@@ -176,10 +176,10 @@
 				w.done(written)
 			}
 		case 409:
-			s.resolveConflict(batch, result.FailedKeys)
+			s.resolveConflict(writes, result.FailedKeys)
 		case 400:
-			s.log(slog.LevelError, "state service rejected a transaction as invalid", "error", result.Err, "key", batch[0].change.Key)
-			for _, w := range batch {
+			s.log(slog.LevelError, "state service rejected a transaction as invalid", "error", result.Err, "key", writes[0].change.Key)
+			for _, w := range writes {
 				w.done(failed)
 			}
 		default:
@@ -188,7 +188,7 @@
 			// of the preconditions: the change is made at most once, and a retry
 			// of a change that was made fails as a conflict.
 			waiting := s.queue
-			s.queue = batch
+			s.queue = writes
 			for _, w := range waiting {
 				s.insertWrite(w)
 			}
@@ -221,13 +221,13 @@
 // resolveConflict handles a transaction whose preconditions failed. The cause may be
 // this controller's own earlier attempt whose answer was lost, so the state is read
 // before the outcome of each write is decided.
-func (s *State) resolveConflict(batch []*write, failedKeys []string) {
+func (s *State) resolveConflict(writes []*write, failedKeys []string) {
 	hasFailed := map[string]bool{}
 	for _, key := range failedKeys {
 		hasFailed[key] = true
 	}
 	s.linearizableRead(func(ok bool) {
-		for _, w := range batch {
+		for _, w := range writes {
 			switch {
 			case !ok:
 				s.insertWrite(w)
