--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -8,24 +8,26 @@
 	"mulleinfall/internal/model"
 )
 
-// Machines that are lost, missing or given up, and when a takeover is settled.
+// This file decides when a machine's lease has expired, when a machine is given up
+// before that, and when a takeover is complete.
 
-// takeoverState is how far a new leader has come in accounting for the machines
-// of the roster.
+// takeoverState is the progress of a new leader in accounting for the registered
+// machines.
 type takeoverState struct {
-	takeoverComplete bool       // every task of older jobs is accounted for
-	scanNext         int        // of order: the machines before are accounted for
-	scanCount        int        // machines looked at in search of others
-	unaccountedFor   []*machine // as of this round
+	takeoverComplete bool       // every task of jobs from before this term is accounted for
+	scanNext         int        // index in machinesByName: the machines before it are accounted for
+	scanCount        int        // machines checked so far, for MachinesScanned
+	unaccountedFor   []*machine // machines unaccounted for in the current dispatch round
 }
 
-// leaseEndsAt is when m's lease has surely run out, if nobody answers it again.
+// leaseEndsAt is when m's lease has certainly expired, if no controller renews it
+// again. The margin covers the drift of both clocks and 1/32 of a lease.
 func (s *State) leaseEndsAt(m *machine) time.Duration {
-	l := s.cfg.Lease
-	return m.lastReplyAt + l + time.Duration(float64(l)*4*ClockDrift) + l/32
+	lease := s.cfg.Lease
+	return m.lastReplyAt + lease + time.Duration(float64(lease)*4*ClockDrift) + lease/32
 }
 
-// expireLeases unbinds what was on machines whose lease has surely run out.
+// expireLeases unbinds the tasks of machines whose lease has certainly expired.
 func (s *State) expireLeases() {
 	for _, m := range s.machinesByName {
 		if m.leaseExpired || !m.registered || s.now < s.leaseEndsAt(m) {
@@ -44,20 +46,21 @@
 	s.checkTakeoverComplete()
 }
 
-// isUnaccounted says whether m may run tasks that this leader hasn't seen.
+// isUnaccounted says whether m may run tasks that this leader has not seen.
 func (s *State) isUnaccounted(m *machine) bool { return m.registered && !m.reconciled && !m.noOldTasks }
 
-// MachinesScanned is how many machines were looked at until this term was settled.
+// MachinesScanned is how many times a machine was checked until the takeover was
+// complete.
 func (s *State) MachinesScanned() int { return s.scanCount }
 
-// checkTakeoverComplete notes when every task of older jobs is accounted for: each
-// machine of the roster has shown all it has under this term, or is gone.
+// checkTakeoverComplete completes the takeover once every task of older jobs is
+// accounted for: each registered machine has listed its tasks in this term, or is gone.
 func (s *State) checkTakeoverComplete() {
 	if s.takeoverComplete || !s.IsLeader() {
 		return
 	}
-	// It is called for each report: looking at all machines each time would
-	// make a takeover's work grow with the square of the fleet.
+	// This runs for each report. Checking all machines each time would make the work
+	// of a takeover quadratic in the number of machines.
 	for ; s.scanNext < len(s.machinesByName); s.scanNext++ {
 		s.scanCount++
 		if s.isUnaccounted(s.machinesByName[s.scanNext]) {
@@ -66,98 +69,101 @@
 	}
 	s.scanCount += len(s.machinesByName)
 	if slices.ContainsFunc(s.machinesByName, s.isUnaccounted) {
-		s.scanNext = 0 // the order has changed meanwhile, or one has begun anew
+		s.scanNext = 0 // machines were added or removed meanwhile, or one has restarted
 		return
 	}
 	s.takeoverComplete, s.dispatchNeeded = true, true
 	s.log(slog.LevelInfo, "all machines accounted for", "term", s.leadership.Term)
 }
 
-// hasOverdueCancelledTasks gives up machines on which tasks of a withdrawn job are still to be
-// seen when most of the time allowed for that has passed: whatever holds the
-// stop up, returning the machine ends them. A new leader tries to stop them
-// first, but doesn't start counting again: with a leader that changed late they
-// were given up long after cancel_s.
+// hasOverdueCancelledTasks says whether m still holds tasks of a cancelled job after
+// three fifths of the time allowed by cancel_s. Such a machine is returned, which ends
+// the tasks whatever delays their stop. A new leader gets up to two report intervals to
+// stop them first, but the time counts from the cancellation: counted from the election,
+// a late change of leader delayed the return until long after cancel_s.
 func (s *State) hasOverdueCancelledTasks(m *machine) bool {
 	limit := s.cfg.CancelWithin * 3 / 5
-	tried := min(limit, 2*s.cfg.ReportInterval)
-	late := func(j *job) bool {
-		return j != nil && j.phase == model.PhaseAborted && s.now-j.finalSeenAt > limit && s.now-s.electedAt > tried
+	minTermAge := min(limit, 2*s.cfg.ReportInterval)
+	isOverdue := func(j *job) bool {
+		return j != nil && j.phase == model.PhaseAborted && s.now-j.finalSeenAt > limit && s.now-s.electedAt > minTermAge
 	}
 	for _, t := range m.tasks {
-		if late(t.job) {
+		if isOverdue(t.job) {
 			return true
 		}
 	}
 	for name := range m.orphanedTasks {
 		id, _, _ := model.ParseTaskName(name)
-		if late(s.jobs[id]) {
+		if isOverdue(s.jobs[id]) {
 			return true
 		}
 	}
 	return false
 }
 
-// wasReclaimed says whether the cloud has taken m back, as it had told. Returned by
-// name it is surely gone: its tasks needn't wait for its lease, nor a
-// successor's older jobs for its word.
+// wasReclaimed says whether the cloud has reclaimed m, as its notice announced. A
+// return by name makes certain that the machine is gone. Its tasks then need not wait
+// for its lease to expire, nor a new leader for its report.
 func (s *State) wasReclaimed(m *machine) bool {
 	return m.reclaimAt != 0 && s.now >= m.reclaimAt+time.Second && m.lastHeardAt < m.reclaimAt
 }
 
-// workerFailoverTimeout is how long a worker takes at most to turn from a controller that
-// is gone to the next: 4 s without an answer, then 1 s (PROTOCOL).
+// workerFailoverTimeout is the longest time that a worker takes to switch from a
+// controller that is down to the next: 4 s without an answer, then 1 s (PROTOCOL).
 const workerFailoverTimeout = 5 * time.Second
 
-// reportTimeout is the silence after which a machine is rather gone than on its
-// way from one controller to the next: soon where reports are rare, late where
-// they come more often than a worker finds the next controller. Marked or given
-// up earlier, whole parts of a fleet lost their leases after a crash.
-func (s *State) reportTimeout(soon, late time.Duration) time.Duration {
-	return max(soon, min(late, workerFailoverTimeout))
+// reportTimeout is how long a machine may go without a report before it counts as gone:
+// the time that a worker needs to switch to another controller, but at least lower and
+// at most upper, which the caller derives from the report interval. With a shorter time,
+// many machines that were still switching lost their leases after a controller's crash.
+func (s *State) reportTimeout(lower, upper time.Duration) time.Duration {
+	return max(lower, min(upper, workerFailoverTimeout))
 }
 
-// isPresumedLost says whether m, of which this term has heard nothing, is given up
-// though its lease may not be over: nearly all others have shown their tasks,
-// it doesn't answer a command, and every older job waits for the last of them.
-// A lease for a handful of machines that died with the former leader would
-// hold up the whole fleet. Zones that are cut off don't count among the others:
-// with one of three gone, nine machines held up all older jobs of the other two.
+// isPresumedLost says whether m, which has not been heard of in this term, is given up
+// although its lease may still run. That is so when it did not answer a command and at
+// most 1/32 of the reachable machines are unaccounted for. Every older job waits until
+// all of them are, so that otherwise a few machines that failed together with the former
+// leader would delay all of these jobs by a lease. Machines in unreachable zones are not
+// counted: with one of three zones cut off, nine machines delayed all older jobs of the
+// other two.
 func (s *State) isPresumedLost(m *machine) bool {
 	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
 		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
-// isUnresponsive says whether m is given up before its lease is over: it carries
-// services, or tasks of gangs whose others wait for its end, neither reports nor answers, and nearly all others do, so that it
-// is the machine and not this node that is out of reach. Waiting for the lease
-// would keep the services down for longer than returning it.
+// isUnresponsive says whether m is given up before its lease expires. That is so when
+// it runs a service of the highest priority, or a task of a gang, whose other tasks wait
+// until this one has ended; when it has been silent for half a lease; and when most
+// machines report, so that the fault is not with this controller. Returning the machine
+// takes less time than waiting for the lease, during which the service would be down.
 func (s *State) isUnresponsive(m *machine) bool {
-	quiet := s.cfg.Lease / 2
-	if !m.reconciled || s.now-m.lastHeardAt < quiet || s.now-s.electedAt < s.cfg.Lease {
+	maxSilence := s.cfg.Lease / 2
+	if !m.reconciled || s.now-m.lastHeardAt < maxSilence || s.now-s.electedAt < s.cfg.Lease {
 		return false
 	}
-	services := false
+	hasUrgentTasks := false
 	for _, t := range m.tasks {
-		services = services || t.job.Kind == model.KindService && t.job.rank == 0 || t.job.Kind == model.KindGang
+		hasUrgentTasks = hasUrgentTasks || t.job.Kind == model.KindService && t.job.rank == 0 || t.job.Kind == model.KindGang
 	}
-	if !services {
+	if !hasUrgentTasks {
 		return false
 	}
 	return s.mostMachinesReport()
 }
 
-// mostMachinesReport says whether nearly all machines report: one that doesn't is
-// then itself at fault, and not this node or the network.
+// mostMachinesReport says whether at least nine tenths of the reconciled machines, not
+// counting one, have reported recently. If so, a machine that does not report is at
+// fault itself, and not this controller or the network.
 func (s *State) mostMachinesReport() bool {
-	there, well := 0, 0
-	for _, o := range s.machinesByName {
-		if o.reconciled {
-			there++
-			if s.now-o.lastHeardAt < 2*s.cfg.ReportInterval {
-				well++
+	reconciled, reporting := 0, 0
+	for _, m := range s.machinesByName {
+		if m.reconciled {
+			reconciled++
+			if s.now-m.lastHeardAt < 2*s.cfg.ReportInterval {
+				reporting++
 			}
 		}
 	}
-	return there > 1 && well*10 >= (there-1)*9
+	return reconciled > 1 && reporting*10 >= (reconciled-1)*9
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -10,108 +10,114 @@
 	"mulleinfall/internal/sched"
 )
 
-// machine is a row of the machine table.
+// machine is the leader's record of one machine and its worker.
 type machine struct {
 	host, endpoint  string
 	machineType     *model.MachineType
 	typeName, zone  string
 	spot            bool
 	view            sched.Machine
-	viewStale       bool // the view is older than the tasks
-	hasUnsentOrders bool // there may be starts or stops that haven't been sent
+	viewStale       bool // the view must be recomputed from the tasks
+	hasUnsentOrders bool // there may be starts or stops that have not been sent
 
 	session, seq uint64
-	highestEpoch uint64 // highest epoch that it has shown
-	minEpoch     uint64 // a report that shows a lower epoch is no news
-	fence        uint64 // low bits of the epoch in use
-
-	hasReported  bool // has reported, in this term
-	reconciled   bool // has shown an epoch of this term: its list is complete
-	leaseExpired bool // its lease has surely run out
-	noOldTasks   bool // nothing from before this term can be on it
-	registered   bool // in the state service, so that a successor knows of it
-	page         int  // of the roster; 0: none yet
-	// storedPage is the page that it is on in the state service.
+	highestEpoch uint64 // highest epoch that its reports have shown
+	minEpoch     uint64 // a report with a lower epoch is stale
+	fence        uint64 // low bits of the current epoch
+
+	hasReported  bool // it has reported in this term
+	reconciled   bool // it has shown an epoch of this term, so its task list is complete
+	leaseExpired bool // its lease has certainly expired
+	noOldTasks   bool // it holds no tasks from before this term
+	registered   bool // the state service lists it, so that a successor knows of it
+	page         int  // its registry page; 0: none yet
+	// storedPage is the registry page that lists the machine in the state service.
 	storedPage int
-	hasOwnKey  bool // on the roster by a key of its own, as former versions wrote it
-	// quiet is since when it hasn't been answered, as wanted in the roster (0:
-	// no mark), silentStored the mark that may be there.
+	hasOwnKey  bool // the registry lists it under a key of its own, as former versions wrote it
+
+	// unresponsiveSince is the wall time in ms since which the machine has not been
+	// answered, as the registry should record it; 0: no mark.
+	// storedUnresponsiveSince is the mark that the state service may hold.
 	unresponsiveSince, storedUnresponsiveSince int64
 	readUnresponsiveSince                      int64 // the mark as last read from the state service
-	preexisting                                bool  // the operators' own, there before us: never returned for being idle
-	returning                                  bool
-	// returnUnconfirmed: a return had no answer, so the machine can't be counted on.
+
+	preexisting bool // belongs to the operators, not rented: never returned for being idle
+	returning   bool // a return was requested
+	// returnUnconfirmed says that a return had no answer, so that the machine may
+	// disappear at any moment.
 	returnUnconfirmed bool
 	returnLogged      bool
-	failed            bool          // the cloud says that it has failed
+	failed            bool          // the cloud reports that it has failed
 	lastHeardAt       time.Duration // last report of any kind
-	lastReplyAt       time.Duration // receipt of the last report answered with 200
+	lastReplyAt       time.Duration // receipt of the last report that was answered with 200
 	rentedAt          time.Duration
 	idleSince         time.Duration
-	reclaimAt         time.Duration // 0: none
-	backoffUntil      time.Duration // no new tasks before (refusals, errors)
+	reclaimAt         time.Duration // when the cloud will reclaim it; 0: no notice
+	backoffUntil      time.Duration // it gets no new tasks before, after refusals and errors
 	consecutiveErrors int
-	slow              bool // found slow: drained, returned and replaced
-	slowRuns          int
+	slow              bool // found slow: it is drained, returned and replaced
+	slowRuns          int  // slow task runs in a row
 
 	tasks         map[string]*task
 	orphanedTasks map[string]model.TaskReport
 
-	unverifiedReport *pendingReport // a report that waits for the machine's own word
+	unverifiedReport *pendingReport // a report that waits for a direct query to confirm it
 	reachability     reachability
-	answeredEpoch    uint64        // of the last answer to a report
-	answeredSeq      uint64        // that report
-	answeredAt       time.Duration // when it was answered
+	answeredEpoch    uint64        // epoch in the last answer to a report
+	answeredSeq      uint64        // sequence number of the last report that was answered
+	answeredAt       time.Duration // when that report was answered
 
-	lastProbeAt time.Duration // when its word was last asked for
-	// hasUnansweredCommand: a direct command had no answer in this term.
-	hasUnansweredCommand bool
+	lastProbeAt          time.Duration // when a stale report last caused a probe
+	hasUnansweredCommand bool          // a direct command had no answer in this term
 	commandInFlight      bool          // a direct command is under way
-	nextCommandAt        time.Duration // no direct command before
-	unconfirmedEpoch     uint64        // epoch of a direct command without an answer
-	reservedFor          *job          // room made by preemption is kept for this job
-	reservedUntil        time.Duration
-	draining             bool // kept for a job that waits for its tasks to end, not for preempted ones
+	nextCommandAt        time.Duration // no direct command is sent before
+	unconfirmedEpoch     uint64        // highest epoch of a direct command with orders and no answer
+
+	reservedFor   *job // free capacity is reserved for this job
+	reservedUntil time.Duration
+	draining      bool // the reservation waits for tasks to end by themselves; none are preempted
 }
 
+// ensureMachine returns the record of host and creates it if there is none.
 func (s *State) ensureMachine(host string) *machine {
 	m := s.machines[host]
 	if m == nil {
 		m = &machine{host: host, tasks: map[string]*task{}, orphanedTasks: map[string]model.TaskReport{}, rentedAt: s.now, idleSince: s.now}
 		m.view.ID, m.view.Ref = host, m
-		// A machine of a type that isn't known yet may report running tasks: without
-		// a cache such a report ended the process.
+		// A machine of a type that is not known yet may report running tasks. Without
+		// an image cache, such a report made the controller panic.
 		m.view.Images = &sched.Cache{}
 		m.viewStale = true
 		s.machines[host] = m
-		at, _ := s.machineIndex(host)
-		s.machinesByName = slices.Insert(s.machinesByName, at, m)
+		index, _ := s.machineIndex(host)
+		s.machinesByName = slices.Insert(s.machinesByName, index, m)
 	}
 	return m
 }
 
-// machineIndex is where host stands or would stand in the order of machines.
+// machineIndex returns the index of host in machinesByName, or the index at which
+// to insert it, and whether it is there.
 func (s *State) machineIndex(host string) (int, bool) {
 	return slices.BinarySearchFunc(s.machinesByName, host, func(m *machine, h string) int { return strings.Compare(m.host, h) })
 }
 
-// removeMachine forgets a machine.
+// removeMachine removes the record of a machine.
 func (s *State) removeMachine(host string) {
 	delete(s.machines, host)
-	if at, ok := s.machineIndex(host); ok {
-		// A new list: somebody may be going over the old one.
-		s.machinesByName = slices.Concat(s.machinesByName[:at], s.machinesByName[at+1:])
+	if index, ok := s.machineIndex(host); ok {
+		// This makes a new slice, because a caller may be iterating over the old one.
+		s.machinesByName = slices.Concat(s.machinesByName[:index], s.machinesByName[index+1:])
 	}
 	s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(m *machine) bool { return m.host == host })
 }
 
-// describeMachine sets what kind of machine m is.
-func (s *State) describeMachine(m *machine, endpoint, typ, zone string, spot bool) {
+// describeMachine sets the endpoint, type, zone and spot flag of m.
+func (s *State) describeMachine(m *machine, endpoint, typeName, zone string, spot bool) {
 	if endpoint != "" {
 		m.endpoint = endpoint
 	}
-	m.typeName, m.zone, m.spot, m.view.Spot, m.view.Zone = typ, zone, spot, spot, zone
-	if t := s.types[typ]; t != nil && m.machineType != t {
+	m.typeName, m.zone, m.spot, m.view.Spot, m.view.Zone = typeName, zone, spot, spot, zone
+	if t := s.types[typeName]; t != nil && m.machineType != t {
 		m.machineType = t
 		m.viewStale = true
 		m.view.Capacity = sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
@@ -124,7 +130,7 @@
 	}
 }
 
-// resetForTerm drops what only the leader of a term may rely on.
+// resetForTerm drops everything that is valid only for the leader of one term.
 func (m *machine) resetForTerm() {
 	m.hasReported, m.reconciled, m.leaseExpired, m.noOldTasks, m.returning, m.commandInFlight = false, false, false, false, false, false
 	m.returnUnconfirmed, m.returnLogged = false, false
@@ -134,16 +140,18 @@
 	m.answeredEpoch, m.answeredSeq, m.answeredAt, m.minEpoch, m.lastProbeAt, m.hasUnansweredCommand = 0, 0, 0, 0, 0, false
 	m.reservedFor, m.slow, m.slowRuns = nil, false, 0
 	m.unverifiedReport, m.reachability = nil, reachability{}
-	// What this leader meant to write may never have been written. A leader elected
-	// again once counted a machine's lease from a mark of its earlier term that the
-	// state service never had, while another had answered the machine meanwhile.
+	// The writes that this controller planned as leader may never have reached the
+	// state service, so only values read from there count. Otherwise a controller that
+	// is elected again could count a machine's lease from a mark that was never stored,
+	// although another leader has answered the machine since.
 	m.page, m.storedUnresponsiveSince = m.storedPage, m.readUnresponsiveSince
 	m.view.LocalQueue, m.view.Fetching, m.view.Running = nil, nil, nil
 	m.viewStale, m.hasUnsentOrders = true, false
 }
 
-// takeOver begins a term: every machine that a former leader may have given
-// tasks is asked, and fenced, by an empty command under the new epoch.
+// takeOver begins a term. It sends an empty command under the new epoch to every
+// machine to which a former leader may have given tasks. The command asks for the
+// machine's tasks and fences off commands of earlier epochs.
 func (s *State) takeOver() {
 	s.log(slog.LevelInfo, "leading", "term", s.leadership.Term, "jobs", len(s.active), "machines", len(s.machines))
 	s.attemptCounter, s.lastRentalNumber, s.lastReportAt = 0, 0, s.now
@@ -165,7 +173,7 @@
 	}
 	for n, listed := range s.pageHosts {
 		if p := s.page(n); p.machinesAtStart != len(listed) {
-			p.dirty = true // a machine that is on two pages, since moving it was cut short
+			p.dirty = true // a machine is on two pages, because its move was interrupted
 		}
 	}
 	for _, id := range sortedKeys(s.active) {
