--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -8,48 +8,51 @@
 	"mulleinfall/internal/model"
 )
 
-// Answers to workers' reports.
+// This file answers workers' reports.
 
-// reportState is what a leader keeps of the reports that it has taken.
+// reportState is the leader's state about the reports that it has received.
 type reportState struct {
-	pendingReports []pendingReport // to be answered after the next round
-	lastReportAt   time.Duration   // of a report that was news
+	pendingReports []pendingReport // answered after the next dispatch round
+	lastReportAt   time.Duration   // when a report with new information last came
 }
 
-// pendingReport is a report whose answer waits for the next round of decisions, or
-// until its machine's mark is off the roster.
+// pendingReport is a report that has not been answered yet. Its answer may wait for the
+// next dispatch round, or until the unresponsive mark of its machine is out of the
+// registry.
 type pendingReport struct {
-	req        uint64
+	requestID  uint64
 	machine    *machine
 	report     *model.Report
 	receivedAt time.Duration
 }
 
-func (s *State) answerReport(h pendingReport) {
-	if !s.IsLeader() || s.machines[h.machine.host] != h.machine || h.machine.session != h.report.Session || h.machine.leaseExpired || !s.clearUnresponsiveMark(h.machine) {
-		s.emit(Reply{RequestID: h.req, Status: 503, Body: Problem{"overtaken"}})
+// answerReport answers a report with orders, or with 503 if it must not be answered any
+// more.
+func (s *State) answerReport(pending pendingReport) {
+	if !s.IsLeader() || s.machines[pending.machine.host] != pending.machine || pending.machine.session != pending.report.Session || pending.machine.leaseExpired || !s.clearUnresponsiveMark(pending.machine) {
+		s.emit(Reply{RequestID: pending.requestID, Status: 503, Body: Problem{"overtaken"}})
 		return
 	}
-	m := h.machine
-	m.answeredEpoch, m.answeredSeq, m.answeredAt = s.epoch(m), max(m.answeredSeq, h.report.Seq), s.now
-	s.renewLease(h, s.ordersFor(m, h.report))
+	m := pending.machine
+	m.answeredEpoch, m.answeredSeq, m.answeredAt = s.epoch(m), max(m.answeredSeq, pending.report.Seq), s.now
+	s.renewLease(pending, s.ordersFor(m, pending.report))
 }
 
-// renewLease answers a report with 200, which renews its worker's lease. With the
-// renewal goes the stop of each task that the report shows of a job that is over,
-// whatever else the machine may be told: the worker takes both or neither. So no lease
-// outlives, by the word of a leader that knows of a cancellation, the stop of its
-// tasks. Answers to machines that weren't adopted yet once renewed leases without it,
-// term after term, until the tasks were there beyond cancel_s.
-func (s *State) renewLease(h pendingReport, orders []model.Order) {
-	orders = s.withStops(h.machine, h.report, orders)
-	s.logLeaseRenewed(h.machine, h.report, len(orders))
-	s.recordStopsSent(h.machine, orders, "answer")
-	s.emit(Reply{RequestID: h.req, Status: 200, Body: ReportReply{s.epoch(h.machine), orders}, SendBefore: s.leadership.ValidUntil()})
+// renewLease answers a report with 200, which renews its worker's lease. The answer
+// always carries a stop for each reported task whose job is final; the worker applies
+// both the renewal and the stops, or neither. So a leader that knows of a cancellation
+// never renews the lease of a cancelled task without stopping it. Answers to machines
+// that were not reconciled yet used to lack the stops: several leaders in a row renewed
+// leases without them, and cancelled tasks ran for longer than cancel_s.
+func (s *State) renewLease(pending pendingReport, orders []model.Order) {
+	orders = s.withStops(pending.machine, pending.report, orders)
+	s.logLeaseRenewed(pending.machine, pending.report, len(orders))
+	s.recordStopsSent(pending.machine, orders, "answer")
+	s.emit(Reply{RequestID: pending.requestID, Status: 200, Body: ReportReply{s.epoch(pending.machine), orders}, SendBefore: s.leadership.ValidUntil()})
 }
 
-// withStops puts the stops that an answer to r must carry in front of orders, which
-// are cut to what fits.
+// withStops puts the stops that the answer to r must carry in front of orders, and cuts
+// the result to maxOrders.
 func (s *State) withStops(m *machine, r *model.Report, orders []model.Order) []model.Order {
 	stops := s.addStopsForPendingStarts(m, s.stopsForReportedTasks(r))
 	if len(stops) == 0 {
@@ -63,19 +66,20 @@
 	return stops[:min(len(stops), maxOrders)]
 }
 
-// stopsForReportedTasks are the stops of the tasks that r shows of jobs that are over.
+// stopsForReportedTasks returns stops for the tasks in r whose jobs are final.
 func (s *State) stopsForReportedTasks(r *model.Report) []model.Order {
 	var stops []model.Order
-	for _, p := range r.Tasks {
-		if p.State != model.TaskExited && s.isJobOfTaskFinal(p.Task) {
-			stops = append(stops, model.Order{Verb: model.OrderKill, Task: p.Task, Attempt: p.Attempt, GraceS: new(float64)})
+	for _, reported := range r.Tasks {
+		if reported.State != model.TaskExited && s.isJobOfTaskFinal(reported.Task) {
+			stops = append(stops, model.Order{Verb: model.OrderKill, Task: reported.Task, Attempt: reported.Attempt, GraceS: new(float64)})
 		}
 	}
 	return stops
 }
 
-// addStopsForPendingStarts adds the stops of tasks whose start may have come between a report and
-// its answer. A start that comes later still finds a higher epoch.
+// addStopsForPendingStarts adds stops for tasks of final jobs whose start may reach the
+// machine between its report and the answer. A start that arrives after the answer is
+// refused, because the answer carries a higher epoch.
 func (s *State) addStopsForPendingStarts(m *machine, stops []model.Order) []model.Order {
 	var starting []*task
 	for _, t := range m.tasks {
@@ -93,49 +97,49 @@
 	return stops
 }
 
-// containsStop says whether orders stop the attempt that o stops.
+// containsStop says whether orders contain a stop of the attempt that o stops.
 func containsStop(orders []model.Order, o model.Order) bool {
 	return slices.ContainsFunc(orders, func(other model.Order) bool {
 		return other.Verb == model.OrderKill && other.Task == o.Task && other.Attempt == o.Attempt
 	})
 }
 
-// isJobOfTaskFinal says whether a task's job is known to be cancelled or done.
+// isJobOfTaskFinal says whether a task's job is known to be done or cancelled.
 func (s *State) isJobOfTaskFinal(task string) bool {
 	id, _, _ := model.ParseTaskName(task)
 	j := s.jobs[id]
 	return j != nil && j.isFinal()
 }
 
-// answerReports answers the held reports, but for those whose machine's mark is
-// still being taken off the roster.
+// answerReports answers the pending reports, except those of machines whose unresponsive
+// mark is still being removed from the registry.
 func (s *State) answerReports() {
 	pendingReports := s.pendingReports
 	s.pendingReports = nil
-	for _, h := range pendingReports {
-		if s.IsLeader() && h.machine.storedUnresponsiveSince != 0 && s.now-h.receivedAt < s.cfg.ReportInterval {
-			s.pendingReports = append(s.pendingReports, h)
+	for _, pending := range pendingReports {
+		if s.IsLeader() && pending.machine.storedUnresponsiveSince != 0 && s.now-pending.receivedAt < s.cfg.ReportInterval {
+			s.pendingReports = append(s.pendingReports, pending)
 			continue
 		}
-		s.answerReport(h)
+		s.answerReport(pending)
 	}
 }
 
-// maxOrders keeps an answer's one line under 64 KiB.
+// maxOrders bounds the orders in one answer, so that it fits in a line of 64 KiB.
 const maxOrders = 400
 
-// ordersFor says what m is to do, in answer to its report r. All of it can be
-// repeated with every report until the reports show that it was done.
+// ordersFor returns the orders for m in answer to its report r. They are repeated with
+// every report until the reports show that they were carried out.
 func (s *State) ordersFor(m *machine, r *model.Report) []model.Order {
 	orders := []model.Order{}
 	if !m.reconciled || m.session != r.Session {
 		return orders
 	}
 	listed := make(map[string]model.TaskReport, len(r.Tasks))
-	for _, p := range r.Tasks {
-		listed[p.Task] = p
-		if len(orders) < maxOrders && s.mayForget(m, p) {
-			orders = append(orders, model.Order{Verb: model.OrderForget, Task: p.Task, Attempt: p.Attempt})
+	for _, reported := range r.Tasks {
+		listed[reported.Task] = reported
+		if len(orders) < maxOrders && s.mayForget(m, reported) {
+			orders = append(orders, model.Order{Verb: model.OrderForget, Task: reported.Task, Attempt: reported.Attempt})
 		}
 	}
 	for _, name := range sortedKeys(m.orphanedTasks) {
@@ -148,8 +152,8 @@
 			break
 		}
 		t := m.tasks[name]
-		p, shown := listed[name]
-		shown = shown && p.Attempt == t.attempt
+		reported, shown := listed[name]
+		shown = shown && reported.Attempt == t.attempt
 		switch {
 		case t.stopping && shown:
 			orders = append(orders, t.killOrder())
@@ -161,18 +165,18 @@
 	return orders
 }
 
-// mayForget says whether m may forget an exited task that it shows. A forgotten
-// attempt could be started again by a direct command that is still on its way;
-// until m has seen a higher epoch nothing is forgotten. Nor is a result that isn't
-// durable yet.
-func (s *State) mayForget(m *machine, p model.TaskReport) bool {
-	if p.State != model.TaskExited || m.commandInFlight || m.unconfirmedEpoch != 0 && m.highestEpoch <= m.unconfirmedEpoch {
+// mayForget says whether m may forget an exited task that it lists. While a direct
+// command may still arrive, nothing may be forgotten, because the command could start a
+// forgotten attempt again; this ends once m has shown a higher epoch. A completed task
+// may be forgotten only once its result is durable.
+func (s *State) mayForget(m *machine, reported model.TaskReport) bool {
+	if reported.State != model.TaskExited || m.commandInFlight || m.unconfirmedEpoch != 0 && m.highestEpoch <= m.unconfirmedEpoch {
 		return false
 	}
-	if t := m.tasks[p.Task]; t != nil && t.attempt == p.Attempt && model.IsKnownCause(p.Cause) {
+	if t := m.tasks[reported.Task]; t != nil && t.attempt == reported.Attempt && model.IsKnownCause(reported.Cause) {
 		return false
 	}
-	id, i, _ := model.ParseTaskName(p.Task)
+	id, index, _ := model.ParseTaskName(reported.Task)
 	j := s.jobs[id]
-	return p.Cause != model.CauseDone || j == nil || i >= j.Tasks || j.isDurable(i)
+	return reported.Cause != model.CauseDone || j == nil || index >= j.Tasks || j.isDurable(index)
 }
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -6,9 +6,11 @@
 	"mulleinfall/internal/model"
 )
 
-// Workers' reports: which are news, which late copies, and what is answered.
+// This file classifies workers' reports: a report with new information is applied, a
+// stale one is refused or answered without effect, a doubtful one is first verified by a
+// direct query. Late copies of reports can arrive at any time.
 
-// handleReport takes a worker's report.
+// handleReport handles a report that a worker sent on its own.
 func (s *State) handleReport(e WorkerReport) {
 	s.steppedDownUnreached = false
 	r := &e.Report
@@ -21,93 +23,96 @@
 		m.preexisting = s.newMachinesArePreexisting()
 	}
 	s.describeMachine(m, r.Endpoint, r.Type, r.Zone, r.Spot)
-	s.classifyReport(pendingReport{req: e.RequestID, machine: m, report: r, receivedAt: s.now})
+	s.classifyReport(pendingReport{requestID: e.RequestID, machine: m, report: r, receivedAt: s.now})
 }
 
-// refuseReport answers a report that this node must not act on: it doesn't lead,
-// the machine was returned, or its worker has heard of a later leader.
-func (s *State) refuseReport(req uint64, r *model.Report) bool {
+// refuseReport refuses a report on which this controller must not act, and says whether
+// it did: it is not the leader, the machine was returned, or its worker has seen the
+// epoch of a later leader.
+func (s *State) refuseReport(requestID uint64, r *model.Report) bool {
 	switch {
 	case !s.IsLeader() && s.leadership != nil && s.electedAt != 0:
-		// Not caught up yet: neither a 200 nor a redirect.
-		s.refuseWorker(req, "not ready to lead")
+		// Elected, but the replica has not caught up: neither a 200 nor a redirect is right.
+		s.refuseWorker(requestID, "not ready to lead")
 	case !s.IsLeader():
-		s.emit(Reply{RequestID: req, Status: 421, Body: Redirect{s.currentLeader()}})
+		s.emit(Reply{RequestID: requestID, Status: 421, Body: Redirect{s.currentLeader()}})
 	case s.wasRecentlyReturned(r.Host):
-		// A late copy: the cloud has confirmed that the machine is gone.
-		s.refuseWorker(req, "machine was returned")
+		// The report is a late copy: the cloud has confirmed that the machine is gone.
+		s.refuseWorker(requestID, "machine was returned")
 	case r.Epoch>>fenceBits > s.leadership.Term:
 		s.log(slog.LevelInfo, "a worker has seen a higher term", "host", r.Host, "epoch", r.Epoch, "term", s.leadership.Term)
 		s.stepDown("a worker has seen a higher term")
-		s.refuseWorker(req, "superseded")
+		s.refuseWorker(requestID, "superseded")
 	default:
 		return false
 	}
 	return true
 }
 
-// refuseWorker sends a worker to the next controller.
-func (s *State) refuseWorker(req uint64, why string) {
-	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{why}})
+// refuseWorker answers a worker with 503, upon which it tries the next controller.
+func (s *State) refuseWorker(requestID uint64, reason string) {
+	s.emit(Reply{RequestID: requestID, Status: 503, Body: Problem{reason}})
 }
 
-// classifyReport tells news of a machine from late copies of its reports.
-func (s *State) classifyReport(h pendingReport) {
-	m, r := h.machine, h.report
+// classifyReport decides whether a report has new information, is stale, or must be
+// verified first.
+func (s *State) classifyReport(pending pendingReport) {
+	m, r := pending.machine, pending.report
 	switch {
 	case r.Epoch < m.minEpoch && (r.Session != m.session || r.Seq > m.seq):
-		// A worker's epoch only grows: this is from before it began anew, or it
-		// has just done so and nobody knows yet.
-		s.refuseStaleReport(h, "report is from another life of this machine")
+		// A worker's epoch only grows until the worker restarts. So the report is from
+		// before a restart, or the worker has restarted and this leader does not know yet.
+		s.refuseStaleReport(pending, "report is from another life of this machine")
 	case r.Session < m.session || m.leaseExpired && r.Session == m.session && m.session != 0:
-		// Of a session that is over: nothing may renew that lease.
-		s.refuseStaleReport(h, "session is over")
+		// The session is over: nothing may renew its lease.
+		s.refuseStaleReport(pending, "session is over")
 	case r.Session == m.session && r.Seq <= m.seq:
-		s.answerSupersededReport(h)
+		s.answerSupersededReport(pending)
 	case m.session != 0 && r.Session > m.session && m.endpoint != "":
-		// A new session ends all that was on the machine. That is not taken
-		// from a report alone: after the machine has begun anew, copies from
-		// its earlier life show higher sessions than the present one.
-		s.verifyReport(h)
+		// A new session means that all earlier tasks on the machine have ended. A report
+		// alone does not prove that: after a restart of the machine, late copies from
+		// before it can show higher sessions than the current one.
+		s.verifyReport(pending)
 	case m.lastHeardAt != 0 && s.now-m.lastHeardAt >= s.maxReportGap() && m.endpoint != "":
-		s.verifyReport(h)
+		s.verifyReport(pending)
 	case m.leaseExpired && m.session == 0:
-		// Lost before it was ever heard of in this term: only its own word
-		// tells a report of now from one of before.
-		s.refuseWorker(h.req, "busy")
+		// The lease expired before the machine was heard of in this term. Only a direct
+		// query can tell whether the report is current.
+		s.refuseWorker(pending.requestID, "busy")
 	default:
-		s.acceptReport(h)
+		s.acceptReport(pending)
 	}
 }
 
-// refuseStaleReport refuses a report that is older than what its machine has shown, but
-// for what has completed, and asks the machine for its own word.
-func (s *State) refuseStaleReport(h pendingReport, why string) {
-	s.recordCompletions(h.report)
-	s.probeAgain(h.machine)
-	s.refuseWorker(h.req, why)
+// refuseStaleReport refuses a report that is older than what its machine has shown, and
+// probes the machine. Of the report, only completed tasks are recorded.
+func (s *State) refuseStaleReport(pending pendingReport, reason string) {
+	s.recordCompletions(pending.report)
+	s.probeAgain(pending.machine)
+	s.refuseWorker(pending.requestID, reason)
 }
 
-// answerSupersededReport answers a report that is older than what its machine has shown
-// since: the answer to a direct command came first, or the report is a late
-// copy. Only the first kind has a worker waiting for the answer, which may
-// renew its lease; it was sent before the newer message came, so that counts
-// as the last contact, and not now: a copy says nothing of now.
-func (s *State) answerSupersededReport(h pendingReport) {
-	m := h.machine
-	s.recordCompletions(h.report)
+// answerSupersededReport answers a report that is older than a message of the same
+// session that came before it. Either the answer to a direct command overtook the report,
+// or the report is a late copy. In the first case the worker waits for the answer, which
+// may renew its lease. The report was sent before the newer message arrived, so the
+// arrival of that message counts as the last reply, and not the current time: a late copy
+// says nothing about the current state of the machine.
+func (s *State) answerSupersededReport(pending pendingReport) {
+	m := pending.machine
+	s.recordCompletions(pending.report)
 	s.probeAgain(m)
 	m.lastReplyAt = max(m.lastReplyAt, m.lastHeardAt)
 	if !s.clearUnresponsiveMark(m) {
-		s.pendingReports = append(s.pendingReports, h)
+		s.pendingReports = append(s.pendingReports, pending)
 		return
 	}
-	s.renewLease(h, []model.Order{})
+	s.renewLease(pending, []model.Order{})
 }
 
-// probeAgain asks a machine whose report looks old for its own word: a worker
-// that has begun anew under the same name counts from the start again, and
-// must not be taken for its own late copy for ever.
+// probeAgain queries a machine whose report looks stale, once per report interval at
+// most. A worker that has restarted under the same name counts sessions and reports from
+// the start again; without a query, its reports would be taken for late copies for ever.
 func (s *State) probeAgain(m *machine) {
 	if m.commandInFlight || m.endpoint == "" || !s.mayProbe() || s.now < m.lastProbeAt+s.cfg.ReportInterval {
 		return
@@ -116,86 +121,91 @@
 	s.sendCommand(m, nil, nil)
 }
 
-// handleRestart takes in that a machine counts sessions or reports from the start
-// again. What it had is gone unless it shows it; only direct commands of its
-// former life may still reach it, which the fence and each task's epoch of
-// doubt take care of.
+// handleRestart resets the record of a machine that has restarted and counts sessions or
+// reports from the start again. Its tasks are gone unless it lists them. Direct commands
+// sent before the restart may still reach it; the fence and unconfirmedStartEpoch of each
+// task take care of those.
 func (s *State) handleRestart(m *machine, r *model.Report) {
-	s.log(slog.LevelInfo, "machine has begun anew", "host", m.host, "session", r.Session, "term", s.leadership.Term)
+	s.log(slog.LevelInfo, "machine has restarted", "host", m.host, "session", r.Session, "term", s.leadership.Term)
 	m.session, m.seq, m.highestEpoch = r.Session, 0, 0
 	m.answeredEpoch, m.answeredSeq, m.reachability, m.reconciled = 0, 0, reachability{}, false
-	m.leaseExpired, m.lastReplyAt = false, s.now // its new life has a lease of its own
+	m.leaseExpired, m.lastReplyAt = false, s.now // it has a new lease since the restart
 	for _, t := range m.tasks {
-		// Answers to reports of the former life died with its connections.
+		// Answers to reports from before the restart were lost with their connections.
 		t.startSentSeq, t.session = 0, r.Session
 	}
-	// Copies from the former life may show the same session and more reports:
-	// from now on only the epoch tells them from news.
+	// Late copies from before the restart may show the same session and higher sequence
+	// numbers. From now on only the epoch distinguishes them from new reports.
 	s.raiseFence(m)
 	m.minEpoch = s.epoch(m)
 }
 
-// verifyReport asks a machine that hasn't been heard of for a while, or never, before
-// its report is believed: it may be a late copy, and the machine dead or
-// another leader's business long since. A copy believed would hold the tasks
-// of a dead machine for a lease more.
-func (s *State) verifyReport(h pendingReport) {
-	m := h.machine
+// verifyReport queries a machine directly before a report of it is applied, because the
+// report shows a new session or is the first for longer than maxReportGap. It may be a
+// late copy, while the machine has failed or is served by another leader. Applying such
+// a copy would keep the tasks of a failed machine bound for one more lease.
+func (s *State) verifyReport(pending pendingReport) {
+	m := pending.machine
 	if m.unverifiedReport != nil {
-		s.refuseWorker(m.unverifiedReport.req, "overtaken")
+		s.refuseWorker(m.unverifiedReport.requestID, "overtaken")
 	}
-	m.unverifiedReport = &h
+	m.unverifiedReport = &pending
 	if !m.commandInFlight && s.mayProbe() {
-		s.sendCommand(m, nil, nil) // else reachOut asks, as soon as others have answered
+		s.sendCommand(m, nil, nil) // otherwise sendCommands does it once others have answered
 	}
 }
 
-// finishVerification goes on with a report that waited for a sign of life.
+// finishVerification handles a report that waited for a direct query of its machine.
+// alive says whether the machine answered.
 func (s *State) finishVerification(m *machine, alive bool) {
-	h := m.unverifiedReport
-	if h == nil {
+	pending := m.unverifiedReport
+	if pending == nil {
 		return
 	}
 	m.unverifiedReport = nil
 	switch {
-	case !alive || s.machines[m.host] != m || h.report.Session != m.session || m.leaseExpired:
-		s.recordCompletions(h.report)
-		s.refuseWorker(h.req, "machine does not answer")
-	case h.report.Session == m.session && h.report.Seq <= m.seq:
-		s.answerSupersededReport(*h)
+	case !alive || s.machines[m.host] != m || pending.report.Session != m.session || m.leaseExpired:
+		s.recordCompletions(pending.report)
+		s.refuseWorker(pending.requestID, "machine does not answer")
+	case pending.report.Session == m.session && pending.report.Seq <= m.seq:
+		s.answerSupersededReport(*pending)
 	default:
-		s.acceptReport(*h)
+		s.acceptReport(*pending)
 	}
 }
 
-// acceptReport takes a report as news of its machine.
-func (s *State) acceptReport(h pendingReport) {
-	m, r := h.machine, h.report
+// acceptReport applies a report that has new information, and answers it at once or
+// after the next dispatch round.
+func (s *State) acceptReport(pending pendingReport) {
+	m, r := pending.machine, pending.report
 	s.lastReportAt = s.now
 	s.applyReport(m, r, true)
 	s.checkDelivery(m, r)
 	if m.reachability.unreachable {
-		s.refuseWorker(h.req, "answers don't reach this machine")
+		s.refuseWorker(pending.requestID, "answers don't reach this machine")
 		return
 	}
 	if !m.registered && !m.reconciled && !m.commandInFlight && s.mayProbe() && m.endpoint != "" {
-		s.sendCommand(m, nil, nil) // a new machine is of use as soon as it shows the epoch
+		s.sendCommand(m, nil, nil) // a new machine gets tasks as soon as it shows the epoch
 	}
 	m.lastReplyAt = s.now
 	if !s.clearUnresponsiveMark(m) || s.dispatchNeeded {
-		// Place first, so that what was just freed is filled by this answer,
-		// and together with what other reports free in the same moment.
-		s.pendingReports = append(s.pendingReports, h)
+		// The answer waits until the unresponsive mark is out of the registry, and for
+		// the next dispatch round. It then carries starts for the capacity that this
+		// report has freed, and the round sees what other reports free at the same time.
+		s.pendingReports = append(s.pendingReports, pending)
 		return
 	}
-	s.answerReport(h)
+	s.answerReport(pending)
 }
 
+// recordCompletions marks the tasks that r shows as done. That holds for stale reports
+// too, since a completed task stays completed.
 func (s *State) recordCompletions(r *model.Report) {
-	for _, p := range r.Tasks {
-		id, i, ok := model.ParseTaskName(p.Task)
-		if j := s.jobs[id]; ok && j != nil && p.State == model.TaskExited && p.Cause == model.CauseDone {
-			s.markTaskDone(j, i)
+	for _, reported := range r.Tasks {
+		id, index, ok := model.ParseTaskName(reported.Task)
+		if j := s.jobs[id]; ok && j != nil && reported.State == model.TaskExited && reported.Cause == model.CauseDone {
+			s.markTaskDone(j, index)
 		}
 	}
 }
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -110,7 +110,7 @@
 	t.Run("an answer carries the end of the entitlement", func(t *testing.T) {
 		s, _, m := newLeader(t)
 		s.effects = nil
-		s.answerReport(pendingReport{req: 1, machine: m, report: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
+		s.answerReport(pendingReport{requestID: 1, machine: m, report: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
 		if r, ok := s.effects[0].(Reply); !ok || r.Status != 200 || r.SendBefore != s.leadership.ValidUntil() {
 			t.Errorf("%+v, entitled until %v", s.effects, s.leadership.ValidUntil())
 		}
