--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -8,52 +8,56 @@
 	"mulleinfall/internal/model"
 )
 
-// Direct commands to workers, and the fence that outdates them.
+// This file sends direct commands to workers. A command carries an epoch; a worker refuses
+// commands with a lower epoch than the highest that it has seen. Raising the fence, the
+// low bits of the epoch, so fences off commands that may still be on their way.
 
-// commandState is what concerns direct commands.
+// commandState is the leader's state about direct commands.
 type commandState struct {
-	commandsInFlight int // under way
-	nextCommandIndex int // of order: the next machine to look after
+	commandsInFlight int // commands under way
+	nextCommandIndex int // index in machinesByName at which sendCommands starts next
 }
 
-// mayProbe says whether a machine may be asked whether it is there. Direct
-// commands under way are bounded by the sockets that there are for them
-// (Config.Directs). A quarter is kept for starts and stops: when hundreds of
-// machines fall silent at once, each question holds its socket until it is
-// given up.
+// mayProbe says whether a machine may be probed, that is, asked for its report by a
+// direct command. The number of direct commands under way is bounded by the sockets that
+// are reserved for them (Config.MaxDirectCommands). Probes leave a quarter of them to
+// starts and stops: when hundreds of machines become unresponsive at once, each probe
+// holds its socket until it times out.
 func (s *State) mayProbe() bool { return s.commandsInFlight < max(1, s.cfg.MaxDirectCommands*3/4) }
 
+// epoch returns the current epoch of m: the term in the high bits, the fence of m in the
+// low bits.
 func (s *State) epoch(m *machine) uint64 { return s.epochBase() | m.fence }
 
-// raiseFence gives m a higher epoch: direct commands still on their way to it
-// will not run once it has seen that.
+// raiseFence gives m a higher epoch. Once m has seen it, m refuses direct commands that
+// were sent earlier.
 func (s *State) raiseFence(m *machine) {
 	if m.fence < 1<<fenceBits-1 {
 		m.fence++
 	}
 }
 
-// sendCommands sends direct commands: to machines not heard of in this term, and
-// where tasks wait to be started or stopped.
+// sendCommands sends direct commands to machines that must be probed, and to machines
+// with tasks that wait to be started or stopped.
 func (s *State) sendCommands() {
 	if !s.IsLeader() {
 		return
 	}
 	first := s.nextCommandIndex
 	for i := range s.machinesByName {
-		at := (first + i) % len(s.machinesByName)
-		m := s.machinesByName[at]
+		index := (first + i) % len(s.machinesByName)
+		m := s.machinesByName[index]
 		if m.commandInFlight || m.endpoint == "" || m.returning {
 			continue
 		}
 		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
 			return
 		}
-		// Whoever is left over when the sockets are used up has its turn next:
-		// begun from the front each time, a zone that was cut off had all of them
-		// for its own, and the few that everybody waited for were never asked.
+		// The next call starts with the first machine that found no free socket. When
+		// each call started from the front, the machines of one unreachable zone used all
+		// sockets, and the few machines for which all older jobs waited were never probed.
 		if s.mayProbe() {
-			s.nextCommandIndex = at
+			s.nextCommandIndex = index
 		}
 		switch {
 		case m.unverifiedReport != nil && s.mayProbe():
@@ -67,31 +71,31 @@
 	}
 }
 
-// needsProbe says whether m is to be asked whether it is there.
+// needsProbe says whether m should be probed.
 func (s *State) needsProbe(m *machine) bool {
 	switch {
 	case m.unresponsiveSince != 0 && s.commandsInFlight >= s.cfg.MaxDirectCommands/4:
-		return false // a zone that is cut off must not take all the turns
+		return false // an unreachable zone must not use all sockets
 	case !m.reconciled:
-		// Once it has reported in this term, its next report shows the
-		// epoch, at once.
+		// If one of its reports was answered in this term, its next report shows the
+		// epoch, so that no probe is needed.
 		return m.registered && !m.leaseExpired && (m.answeredEpoch == 0 || s.now-m.lastHeardAt > s.cfg.ReportInterval)
 	}
 	return s.now-m.lastHeardAt > 2*s.cfg.ReportInterval || m.reachability.unreachable && m.highestEpoch < m.reachability.recoveryEpoch
 }
 
-// sendUnsentOrders sends m's unsent starts and stops directly.
+// sendUnsentOrders sends the unsent starts and stops of m by a direct command.
 func (s *State) sendUnsentOrders(m *machine) {
-	var open []*task
+	var unsent []*task
 	for _, t := range m.tasks {
 		if !t.startSent || t.stopping {
-			open = append(open, t)
+			unsent = append(unsent, t)
 		}
 	}
-	slices.SortFunc(open, func(a, b *task) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(unsent, func(a, b *task) int { return strings.Compare(a.name, b.name) })
 	var orders []model.Order
 	var starts []*task
-	for _, t := range open {
+	for _, t := range unsent {
 		if len(orders) >= 100 {
 			break
 		}
@@ -100,7 +104,7 @@
 			starts = append(starts, t)
 		} else if t.stopping && t.stopRequestedAt != 0 && t.state != "" {
 			orders = append(orders, t.killOrder())
-			t.stopRequestedAt = 0 // once; reports repeat it
+			t.stopRequestedAt = 0 // sent directly once; answers to reports repeat it
 		}
 	}
 	if len(orders) > 0 {
@@ -110,11 +114,11 @@
 	}
 }
 
-// sendCommand sends m orders under its present epoch, or an empty command that asks
+// sendCommand sends m orders under its current epoch, or an empty command that only asks
 // for its report. starts are the tasks that the orders start.
 func (s *State) sendCommand(m *machine, orders []model.Order, starts []*task) {
 	epoch, leadership := s.epoch(m), s.leadership
-	session, seq, sent := m.session, m.seq, s.now
+	session, seq, sentAt := m.session, m.seq, s.now
 	m.commandInFlight = true
 	s.commandsInFlight++
 	for _, t := range starts {
@@ -124,9 +128,9 @@
 		orders = []model.Order{}
 	}
 	s.recordStopsSent(m, orders, "command")
-	c := AgentCall{Host: m.host, Endpoint: m.endpoint, Epoch: epoch, Session: m.session, Orders: orders, SendBefore: leadership.ValidUntil()}
-	c.CallID = s.registerCall(func(res any) {
-		d := res.(AgentResult)
+	call := AgentCall{Host: m.host, Endpoint: m.endpoint, Epoch: epoch, Session: m.session, Orders: orders, SendBefore: leadership.ValidUntil()}
+	call.CallID = s.registerCall(func(anyResult any) {
+		result := anyResult.(AgentResult)
 		if s.leadership != leadership {
 			return
 		}
@@ -136,52 +140,53 @@
 			return
 		}
 		m.commandInFlight = false
-		defer func() { s.finishVerification(m, d.Report != nil) }()
-		if d.Report == nil || d.Status != 200 && d.Status != 409 {
-			s.handleUnansweredCommand(m, epoch, sent, len(orders) > 0)
+		defer func() { s.finishVerification(m, result.Report != nil) }()
+		if result.Report == nil || result.Status != 200 && result.Status != 409 {
+			s.handleUnansweredCommand(m, epoch, sentAt, len(orders) > 0)
 			return
 		}
-		s.recordStartOutcome(m, starts, epoch, d.Status)
-		r := d.Report
+		s.recordStartOutcome(m, starts, epoch, result.Status)
+		r := result.Report
 		if r.Session < session || r.Session == session && r.Seq <= seq {
-			// Older than what it had shown before it was asked.
+			// The counts are not above those that m showed before the command was sent,
+			// so m has restarted since.
 			s.handleRestart(m, r)
 		}
 		if r.Session > m.session || r.Session == m.session && r.Seq > m.seq {
 			s.applyReport(m, r, false)
 		}
-		if d.Status == 409 {
+		if result.Status == 409 {
 			m.nextCommandAt = s.now + s.cfg.ReportInterval/4
 			if !m.reconciled {
-				m.nextCommandAt = s.now // the session is known now: ask again
+				m.nextCommandAt = s.now // the session is known now: send again at once
 			}
 		}
 		if s.IsLeader() && !m.commandInFlight && s.now >= m.nextCommandAt {
 			s.sendUnsentOrders(m)
 		}
 	})
-	s.emit(c)
+	s.emit(call)
 }
 
-// handleUnansweredCommand takes that a command had no answer: perhaps it runs later.
-// The fence is raised, so that the next report rules that out, and the rest is
-// left to the reports.
-func (s *State) handleUnansweredCommand(m *machine, epoch uint64, sent time.Duration, orders bool) {
-	if orders {
+// handleUnansweredCommand handles a command that had no answer. It may still be carried
+// out later, so that its outcome is unknown. If it had orders, the fence is raised: once
+// a report shows the higher epoch, the command can no longer be carried out.
+func (s *State) handleUnansweredCommand(m *machine, epoch uint64, sentAt time.Duration, hadOrders bool) {
+	if hadOrders {
 		m.unconfirmedEpoch = max(m.unconfirmedEpoch, epoch)
 		s.raiseFence(m)
 	}
 	m.nextCommandAt = s.now + s.cfg.Lease/8
 	m.hasUnansweredCommand = true
-	if m.lastHeardAt > sent {
-		s.countMissedDelivery(m) // it reports meanwhile, so it is there
+	if m.lastHeardAt > sentAt {
+		s.countMissedDelivery(m) // m has reported since, so it is up
 	}
 }
 
-// recordStartOutcome takes the outcome of starts. A copy of a command that was
-// carried out may come late. Whatever makes its starts possible again (a forget,
-// another attempt) goes out under a higher epoch, so that the copy is refused by
-// then: it once started a task a second time.
+// recordStartOutcome records the outcome of direct starts. A late copy of the command may
+// still arrive after it was carried out, and such a copy once started a task a second
+// time. So the fence is raised: all that could make these starts valid again, such as a
+// forget or another attempt, is sent under a higher epoch, after which the copy is refused.
 func (s *State) recordStartOutcome(m *machine, starts []*task, epoch uint64, status int) {
 	if len(starts) > 0 {
 		s.raiseFence(m)
@@ -197,7 +202,8 @@
 	}
 }
 
+// killOrder returns the order that stops t.
 func (t *task) killOrder() model.Order {
-	g := t.graceS
-	return model.Order{Verb: model.OrderKill, Task: t.name, Attempt: t.attempt, GraceS: &g}
+	graceS := t.graceS
+	return model.Order{Verb: model.OrderKill, Task: t.name, Attempt: t.attempt, GraceS: &graceS}
 }
