--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -6,94 +6,103 @@
 	"mulleinfall/internal/model"
 )
 
-// Whoever may act must know of a cancellation soon enough after a user was told
-// of it, also a leader that the state service refuses. With the state service
-// out for all right after that, a leader that one controller's promise carried
-// on kept the tasks of jobs that the other had confirmed as cancelled, far
-// beyond cancel_s. So a leader's view may be no older than staleness: counted
-// from its last complete read, or from the end of the read leases that the
-// other controllers grant it when it has lost the state service. Under a read
-// lease its grantor tells no user of a cancellation that the leader hasn't
+// This file makes sure that the leader learns of a cancellation soon enough after any
+// controller has confirmed it to a user, also when the leader can't reach the state
+// service. Without these rules the following happened: right after one controller had
+// confirmed cancellations, the state service failed for all controllers. The leader kept
+// leading by the promise of another controller, did not know of the cancellations, and
+// kept the tasks running far beyond cancel_s.
+//
+// So a leader's view of the cancellations may be no older than maxViewAge. Its age counts
+// from the leader's last complete read, or from the end of the read leases that the other
+// controllers grant to a leader without access to the state service. While a controller
+// is bound by a read lease, it confirms no cancellation that the leader has not
 // acknowledged. docs/design.md has the whole argument.
 
-// cancellationState is what a controller keeps for that.
+// cancellationState is a controller's state about unconfirmed cancellations.
 type cancellationState struct {
-	// unacknowledged are the cancelled jobs of which the leader isn't known to know,
-	// with the version of each.
+	// unacknowledged holds the cancelled jobs that the leader may not know of, with the
+	// modification revision of each.
 	unacknowledged       map[string]uint64
-	pendingConfirmations []pendingConfirmation // users whose answer waits for the leader's acknowledgement
+	pendingConfirmations []pendingConfirmation // users whose answers wait for the leader's acknowledgement
 }
 
-// pendingConfirmation is a user who asked about a job that is cancelled.
+// pendingConfirmation is a user who waits for the status of a cancelled job.
 type pendingConfirmation struct {
 	requester requester
 	job       *job
 	deadline  time.Duration
 }
 
-// maxViewAge is how old a leader's view of the cancellations may be: once it has
-// stopped, the workers' leases run out. A sixteenth and the drift of the clocks
-// stay in reserve. With hardly more time than a lease to cancel in, it is what a
-// leader needs to be one at all.
+// maxViewAge is how old a leader's view of the cancellations may be. Once a leader with
+// an older view has stopped, the workers' leases take up to a lease more to expire, so
+// the age is bounded by what cancel_s leaves beyond a lease, less a sixteenth and the
+// drift of the clocks. If cancel_s is hardly longer than a lease, the bound is the promise
+// duration, without which no leader could act at all.
 func maxViewAge(cfg Config) time.Duration {
-	spare := cfg.CancelWithin - cfg.Lease
-	return max(spare-spare/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
+	remaining := cfg.CancelWithin - cfg.Lease
+	return max(remaining-remaining/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
 }
 
-// CancelBound is how long after its user was told tasks of a cancelled job may be there
-// at most, whatever fails: a leader that doesn't know of the cancellation renews leases
-// until its view is too old, by its clock (the election shortens that by more than the
-// drift), and the last lease runs on, by the worker's. Whoever knows of it renews no
-// lease without the stop (renewLease). docs/design.md has the sum term by term.
+// CancelBound is the longest time for which tasks of a cancelled job may exist after the
+// cancellation was confirmed to its user, whatever fails. A leader that does not know of
+// the cancellation renews leases until its view is too old by its own clock; the election
+// shortens that time by more than the drift. The last lease then runs by the worker's
+// clock. A leader that knows of the cancellation renews no lease without the stop
+// (renewLease). docs/design.md has the sum term by term.
 func (c Config) CancelBound() time.Duration {
 	drift := time.Duration(float64(c.Lease) * 2 * ClockDrift)
 	return maxViewAge(c) + c.Lease + drift
 }
 
-// maxUnacknowledged bounds what is told at a time; with more, no read lease is
-// granted.
+// maxUnacknowledged bounds the cancellations that are sent with a read lease. A controller
+// with more unacknowledged cancellations grants no read lease.
 const maxUnacknowledged = 2000
 
-// recordCompleteRead notes that this copy is complete as of sent.
-func (s *State) recordCompleteRead(sent time.Duration) {
-	s.completeReadAt = max(s.completeReadAt, sent)
+// recordCompleteRead records that the replica has all changes up to sentAt, when the read
+// was sent.
+func (s *State) recordCompleteRead(sentAt time.Duration) {
+	s.completeReadAt = max(s.completeReadAt, sentAt)
 	if s.leadership != nil {
-		s.leadership.RecordRead(sent)
+		s.leadership.RecordRead(sentAt)
 	}
 }
 
-// acknowledgeUpTo notes that whoever leads knows of all changes up to rev.
-func (s *State) acknowledgeUpTo(rev uint64) {
-	for id, stamp := range s.unacknowledged {
-		if stamp <= rev {
+// acknowledgeUpTo records that the current leader knows of all changes up to revision.
+func (s *State) acknowledgeUpTo(revision uint64) {
+	for id, modRevision := range s.unacknowledged {
+		if modRevision <= revision {
 			delete(s.unacknowledged, id)
 		}
 	}
 }
 
-// grantReadLease grants a read lease with a promise, if the leader asks for one and
-// this node has lost the state service as well: with it, this node could be
-// asked to confirm cancellations, and the leader had better go. Both measures
-// are well above what passes between two reads on an ordinary day: leased then,
-// cancellations would wait for a leader that has just ended.
-func (s *State) grantReadLease(requestVotes PeerMsg, reply *PeerMsg) {
-	if !requestVotes.Read || s.sinceStoreContact() < s.electionConfig.MaxStaleness/8 || len(s.unacknowledged) > maxUnacknowledged {
+// grantReadLease adds a read lease to a promise if the leader asks for one and this
+// controller has lost the state service as well. A controller that reaches the state
+// service may have to confirm cancellations, so it should not bind itself; the leader
+// should step down instead. The time without the state service after which a leader asks,
+// and the one after which a controller grants, are both well above the usual time between
+// two reads. Read leases in normal operation would make confirmations wait for a leader
+// that has just stepped down.
+func (s *State) grantReadLease(request PeerMsg, reply *PeerMsg) {
+	if !request.Read || s.sinceStoreContact() < s.electionConfig.MaxStaleness/8 || len(s.unacknowledged) > maxUnacknowledged {
 		return
 	}
-	s.voter.GrantReadLease(s.now, requestVotes.Term)
+	s.voter.GrantReadLease(s.now, request.Term)
 	reply.Read, reply.Loaded, reply.Age, reply.Counts = true, s.loaded, s.now-s.startedAt, s.unacknowledgedRevisions()
 }
 
-// unacknowledgedRevisions lists what the leader may not know of.
+// unacknowledgedRevisions returns the cancelled jobs that the leader may not know of, with
+// the modification revision of each.
 func (s *State) unacknowledgedRevisions() map[string]int {
-	list := make(map[string]int, len(s.unacknowledged))
-	for id, stamp := range s.unacknowledged {
-		list[id] = int(stamp)
+	revisions := make(map[string]int, len(s.unacknowledged))
+	for id, modRevision := range s.unacknowledged {
+		revisions[id] = int(modRevision)
 	}
-	return list
+	return revisions
 }
 
-// applyReadLease takes a read lease and what comes with it.
+// applyReadLease applies the read lease in a promise and the cancellations sent with it.
 func (s *State) applyReadLease(from string, m PeerMsg) {
 	if !m.Read {
 		return
@@ -103,68 +112,71 @@
 	s.leadership.RecordReadLease(from, m.Sent, s.now-age, m.Loaded)
 }
 
-// learnCancellations takes cancellations from another controller. They are durable, and a
-// leader acknowledges them.
-func (s *State) learnCancellations(from string, list map[string]int) {
-	for _, id := range sortedKeys(list) {
-		s.apply(Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: uint64(list[id])})
+// learnCancellations applies cancellations that another controller has sent. They are
+// already in the state service. A leader acknowledges them.
+func (s *State) learnCancellations(from string, revisions map[string]int) {
+	for _, id := range sortedKeys(revisions) {
+		s.apply(Item{Key: prefixJobs + id, Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: uint64(revisions[id])})
 	}
-	if len(list) > 0 && s.IsLeader() {
-		s.emit(PeerOut{from, PeerMsg{Kind: MsgCancelledAck, Term: s.leadership.Term, Counts: list}})
+	if len(revisions) > 0 && s.IsLeader() {
+		s.emit(PeerOut{from, PeerMsg{Kind: MsgCancelledAck, Term: s.leadership.Term, Counts: revisions}})
 	}
 }
 
-// handleAcknowledgement notes what a leader knows of. Its successors have read it.
+// handleAcknowledgement records the cancellations that the leader knows of. Its successors
+// read them from the state service before they act.
 func (s *State) handleAcknowledgement(m PeerMsg) {
 	if m.Term < s.term {
-		return // its successor may have been elected before the cancellation
+		return // the next leader may have been elected before the cancellation
 	}
-	for id, stamp := range m.Counts {
-		if s.unacknowledged[id] == uint64(stamp) {
+	for id, modRevision := range m.Counts {
+		if s.unacknowledged[id] == uint64(modRevision) {
 			delete(s.unacknowledged, id)
 		}
 	}
 	s.answerPendingConfirmations()
 }
 
-// canConfirm says whether a user may be told that j is cancelled.
+// canConfirm says whether the status of j may be sent to a user. It may not while j is
+// cancelled, the leader may not know of it, and a read lease binds this controller.
 func (s *State) canConfirm(j *job) bool {
-	_, unshared := s.unacknowledged[j.ID]
-	return !unshared || j.phase != model.PhaseAborted || s.IsLeader() || !s.voter.HasReadLease(s.now, s.term)
+	_, isUnacknowledged := s.unacknowledged[j.ID]
+	return !isUnacknowledged || j.phase != model.PhaseAborted || s.IsLeader() || !s.voter.HasReadLease(s.now, s.term)
 }
 
-// replyWithStatus answers with a job's state. Of a cancellation nobody is told before the
-// leader knows of it, where it relies on that; it is asked, and after a moment
-// without its word the user is told to come back.
-func (s *State) replyWithStatus(o requester, j *job) {
+// replyWithStatus answers a user with the status of j. A cancellation that may not be
+// confirmed yet is sent to the other controllers first. If the leader does not acknowledge
+// it within half of userRequestTimeout, the user is told to retry later.
+func (s *State) replyWithStatus(user requester, j *job) {
 	if s.canConfirm(j) {
 		s.logCancellationConfirmed(j)
-		s.replyToUser(o, 200, s.jobStatus(j), 0)
+		s.replyToUser(user, 200, s.jobStatus(j), 0)
 		return
 	}
 	if len(s.pendingConfirmations) >= s.cfg.MaxRequests {
-		s.replyRetryLater(o, "too many requests under way")
+		s.replyRetryLater(user, "too many requests under way")
 		return
 	}
-	s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{o, j, s.now + userRequestTimeout/2})
+	s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{user, j, s.now + userRequestTimeout/2})
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgCancelled, Counts: map[string]int{j.ID: int(s.unacknowledged[j.ID])}}})
 	}
 }
 
-// answerPendingConfirmations answers the users who wait for that.
+// answerPendingConfirmations answers the users whose cancellations can be confirmed by now,
+// and those who have waited too long.
 func (s *State) answerPendingConfirmations() {
 	waiting := s.pendingConfirmations
 	s.pendingConfirmations = nil
-	for _, u := range waiting {
+	for _, pending := range waiting {
 		switch {
-		case s.canConfirm(u.job):
-			s.logCancellationConfirmed(u.job)
-			s.replyToUser(u.requester, 200, s.jobStatus(u.job), 0)
-		case s.now >= u.deadline:
-			s.replyRetryLater(u.requester, "the leader does not answer")
+		case s.canConfirm(pending.job):
+			s.logCancellationConfirmed(pending.job)
+			s.replyToUser(pending.requester, 200, s.jobStatus(pending.job), 0)
+		case s.now >= pending.deadline:
+			s.replyRetryLater(pending.requester, "the leader does not answer")
 		default:
-			s.pendingConfirmations = append(s.pendingConfirmations, u)
+			s.pendingConfirmations = append(s.pendingConfirmations, pending)
 		}
 	}
 }
