--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Giving machines back, and the zones that are left alone meanwhile.
+// This file decides which machines to return to the cloud, and returns them.
 
 // maxReturnBatch is how many machines one call to the cloud may return (PROTOCOL).
 const maxReturnBatch = 100
 
-// returnMachines returns machines that are lost, never came up, or idle.
+// returnMachines returns machines that are lost, have never reported, or are idle.
 func (s *State) returnMachines() {
 	if s.returnInFlight {
 		return
 	}
 	s.zones = s.assessZones()
 	s.countUnaccounted()
-	spare := s.newSpareCapacity()
+	spareCapacity := s.newSpareCapacity()
 	var hosts []string
 	for _, m := range s.machinesByName {
 		if len(hosts) >= maxReturnBatch {
@@ -27,7 +27,7 @@
 		case returnNow:
 			hosts = append(hosts, m.host)
 		case returnIfSpare:
-			if spare.allowReturn(m) {
+			if spareCapacity.allowReturn(m) {
 				hosts = append(hosts, m.host)
 			}
 		case machineInUse:
@@ -39,9 +39,9 @@
 	}
 }
 
-// countUnaccounted counts the machines in reach, and those of them that may run
-// tasks that this leader hasn't seen. A zone that is cut off is waited for in any
-// case, and says nothing of the rest.
+// countUnaccounted counts the machines outside unreachable zones, and those of them that
+// may run tasks that this leader has not seen. The machines of an unreachable zone are
+// waited for in any case and tell nothing about the others.
 func (s *State) countUnaccounted() {
 	s.unaccountedMachines, s.reachableMachines = 0, 0
 	for _, m := range s.machinesByName {
@@ -55,24 +55,24 @@
 	}
 }
 
-// disposition says what becomes of a machine now.
+// disposition is what to do with a machine now.
 type disposition int
 
 const (
-	keepMachine   disposition = iota // neither used nor to be returned
-	machineInUse                     // its time of idling begins anew
-	returnIfSpare                    // if its room can be spared
+	keepMachine   disposition = iota // neither in use nor to be returned; its idle time goes on
+	machineInUse                     // its idle time starts again
+	returnIfSpare                    // return it if its capacity need not be kept free
 	returnNow
 )
 
-// disposition says whether m is given back.
+// disposition decides what to do with m.
 func (s *State) disposition(m *machine) disposition {
 	switch {
 	case m.returning, m.failed, s.hasOverdueCancelledTasks(m), s.wasReclaimed(m):
 		return returnNow
 	case s.zones[m.zone].unreachable:
-		// Cut off, most likely: what is there goes on working by itself or
-		// will, and a machine that lost its work keeps its images.
+		// The machines are most likely only cut off. Their tasks go on, or can run there
+		// again later, and a machine that has lost its tasks still holds its images.
 		return keepMachine
 	case s.isUnresponsive(m), s.isPresumedLost(m):
 		return returnNow
@@ -93,6 +93,7 @@
 	return machineInUse
 }
 
+// returnIf returns returnNow or keepMachine.
 func returnIf(now bool) disposition {
 	if now {
 		return returnNow
@@ -100,47 +101,48 @@
 	return keepMachine
 }
 
-// isLostForGood says whether m, whose lease ran out, is given up: not while nobody
-// reports, since it is rather this node that is cut off then.
+// isLostForGood says whether m is given up half a lease after its lease has expired, or
+// after its zone has recovered. It is not while no machine reports, because then this
+// controller is more likely to be cut off.
 func (s *State) isLostForGood(m *machine) bool {
 	return s.now-max(s.leaseEndsAt(m), s.zoneRecoveredAt[m.zone]) > s.cfg.Lease/2 && s.now-s.lastReportAt < 2*s.cfg.ReportInterval
 }
 
-// isEmpty says whether no task is on m, nor may be.
+// isEmpty says whether no task is or may be on m.
 func (m *machine) isEmpty() bool { return len(m.tasks) == 0 && len(m.orphanedTasks) == 0 }
 
-// returnHosts asks the cloud to take machines back.
+// returnHosts asks the cloud to end the rental of machines.
 func (s *State) returnHosts(hosts []string) {
 	leadership := s.leadership
-	ok := s.callCloud(CloudCall{Op: CloudReturn, Hosts: hosts}, func(d CloudResult) {
+	sent := s.callCloud(CloudCall{Op: CloudReturn, Hosts: hosts}, func(result CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
 		s.returnInFlight = false
-		for _, h := range hosts {
-			s.handleReturnReply(h, d.Status)
+		for _, host := range hosts {
+			s.handleReturnReply(host, result.Status)
 		}
 	})
-	if !ok {
+	if !sent {
 		return
 	}
 	s.returnInFlight = true
-	for _, h := range hosts {
-		m := s.machines[h]
+	for _, host := range hosts {
+		m := s.machines[host]
 		level := slog.LevelInfo
 		if m.returnLogged {
-			level = slog.LevelDebug // tried before
+			level = slog.LevelDebug // logged at an earlier attempt
 		}
 		m.returning, m.returnLogged = true, true
 		s.dispatchNeeded = true
 		if s.hasOverdueCancelledTasks(m) {
-			s.log(level, "machine given up for cancelled tasks", "host", h, "silent_for", s.now-m.lastHeardAt, "term", s.leadership.Term)
+			s.log(level, "machine given up for cancelled tasks", "host", host, "silent_for", s.now-m.lastHeardAt, "term", s.leadership.Term)
 		}
-		s.log(level, "returning machine", "host", h, "up", m.hasReported, "lapsed", m.leaseExpired, "term", s.leadership.Term)
+		s.log(level, "returning machine", "host", host, "up", m.hasReported, "lapsed", m.leaseExpired, "term", s.leadership.Term)
 	}
 }
 
-// handleReturnReply takes the cloud's answer to a return.
+// handleReturnReply handles the cloud's answer to the return of a machine.
 func (s *State) handleReturnReply(host string, status int) {
 	m := s.machines[host]
 	switch {
@@ -148,35 +150,37 @@
 		s.handleMachineGone(host)
 	case m == nil:
 	case status == 503 || status == 429:
-		// Not done, so the machine is ours as before; held back, it
-		// would stand empty for as long as the cloud is in trouble.
+		// The cloud has not returned the machine, so it can be used as before. Otherwise
+		// it would stay empty for as long as the cloud refuses requests.
 		m.returning = m.returnUnconfirmed
 		s.dispatchNeeded = true
 	default:
-		m.returnUnconfirmed = true // perhaps gone at any moment from now
+		m.returnUnconfirmed = true // the outcome is unknown: it may disappear at any moment
 	}
 }
 
+// bootTimeout is how long m may take from its rental to its first report.
 func (s *State) bootTimeout(m *machine) time.Duration {
-	boot := 30.0
+	bootS := 30.0
 	if m.machineType != nil {
-		boot = max(m.machineType.BootS, 5)
+		bootS = max(m.machineType.BootS, 5)
 	}
-	return time.Duration(s.cfg.GiveUpBoots * boot * float64(time.Second))
+	return time.Duration(s.cfg.GiveUpBoots * bootS * float64(time.Second))
 }
 
-// isIdleLongEnough says whether an idle machine has waited for work as long as
-// renting it anew would take, and has used up its minimum charge.
+// isIdleLongEnough says whether an idle machine has been idle for the configured multiple
+// of its boot time, and has been rented for longer than the minimum charge covers.
 func (s *State) isIdleLongEnough(m *machine) bool {
-	boot := 30.0
+	bootS := 30.0
 	if m.machineType != nil {
-		boot = max(m.machineType.BootS, 5)
+		bootS = max(m.machineType.BootS, 5)
 	}
 	const minimumCharge = 60 * time.Second // PROTOCOL, /machines/return
-	return s.now-m.idleSince > time.Duration(s.cfg.IdleBoots*boot*float64(time.Second)) && s.now-m.rentedAt > minimumCharge
+	return s.now-m.idleSince > time.Duration(s.cfg.IdleBoots*bootS*float64(time.Second)) && s.now-m.rentedAt > minimumCharge
 }
 
-// handleMachineGone notes that the cloud has confirmed a machine's end.
+// handleMachineGone removes a machine after the cloud has confirmed that it is gone, and
+// unbinds its tasks.
 func (s *State) handleMachineGone(host string) {
 	m := s.machines[host]
 	if m == nil {
@@ -195,7 +199,8 @@
 	s.checkTakeoverComplete()
 }
 
-// wasRecentlyReturned keeps the lagging list from bringing a machine back.
+// wasRecentlyReturned says whether host was returned so recently that the cloud's list,
+// which lags, or a late report may still show it. Such a machine must not be added again.
 func (s *State) wasRecentlyReturned(host string) bool {
 	at, ok := s.returnedAt[host]
 	if !ok {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -7,36 +7,36 @@
 	"mulleinfall/internal/model"
 )
 
-// A machine can be reachable in one direction only: its reports arrive, but
-// answers and commands don't reach it. It then looks healthy, while what is sent to it
-// never starts, its lease runs out, and each new session draws the same work
-// again because it holds the image. A report received is neither a lease
-// renewed nor an order carried out, so the leader looks for signs that its
-// answers arrive: the epoch that they carried and the starts.
+// This file detects machines that are reachable in one direction only: their reports
+// arrive, but answers and commands do not reach them. Such a machine looks healthy, but
+// tasks sent to it never start, its lease expires, and in each new session it is given the
+// same tasks again, because it holds their image. That a report arrives does not prove that
+// the lease was renewed or that an order was carried out. So the leader checks whether the
+// reports show the epoch and the starts of its answers.
 
-// reachability is what a leader knows of that.
+// reachability is what a leader knows about deliveries to one machine.
 type reachability struct {
-	unreachable        bool          // nothing that is sent arrives there
-	missedDeliveries   int           // in a row that it doesn't get what it is sent
-	unreachableCount   int           // how often it was found so
-	recoveryEpoch      uint64        // whoever shows it has heard us since
-	firstUnreachableAt time.Duration // the first time
-	earliestRecoveryAt time.Duration // not trusted before
+	unreachable        bool          // answers and commands do not reach it
+	missedDeliveries   int           // missed deliveries in a row
+	unreachableCount   int           // how often it was found unreachable
+	recoveryEpoch      uint64        // a report with this epoch shows that a later command has arrived
+	firstUnreachableAt time.Duration // when it was first found unreachable
+	earliestRecoveryAt time.Duration // it stays unreachable at least until then
 }
 
-// maxMissedDeliveries is how many signs in a row make a machine unreachable: one answer or
-// command can be lost.
+// maxMissedDeliveries is how many missed deliveries in a row make a machine unreachable. A
+// single answer or command can be lost.
 const maxMissedDeliveries = 2
 
-// checkDelivery looks for signs of our answers in a machine's own report.
+// checkDelivery checks whether a machine's own report shows the last answer sent to it.
 func (s *State) checkDelivery(m *machine, r *model.Report) {
 	switch {
 	case m.reachability.unreachable || m.answeredSeq == 0 || r.Seq <= m.answeredSeq:
-		// Known, or not answered in this session yet.
+		// The machine is known to be unreachable, or has no answer in this session yet.
 	case s.now-m.answeredAt < s.cfg.ReportInterval/3:
-		// Too soon after our answer to have been sent in its knowledge: a late copy.
-		// Several that came at once to a new leader had sound machines marked, and
-		// what ran there lost its leases.
+		// The report came so soon after the answer that it was sent before: it is a late
+		// copy. When such copies counted, several that reached a new leader at once got
+		// healthy machines marked, and their tasks lost the leases.
 	case r.Epoch >= m.answeredEpoch && !s.hasMissingStart(m, r):
 		m.reachability.missedDeliveries = 0
 	default:
@@ -44,15 +44,16 @@
 	}
 }
 
-// countMissedDelivery counts one sign that nothing reaches m.
+// countMissedDelivery counts a delivery that m has missed, and marks m as unreachable if
+// there were too many in a row.
 func (s *State) countMissedDelivery(m *machine) {
 	if m.reachability.missedDeliveries++; m.reachability.missedDeliveries >= maxMissedDeliveries {
-		s.markUnreachable(m, "it reports, but shows nothing of what it is sent")
+		s.markUnreachable(m, "it reports, but does not show the answers and commands sent to it")
 	}
 }
 
-// hasMissingStart says whether a start that was sent in an answer before this report
-// is not in it.
+// hasMissingStart says whether r lacks a task whose start was sent in the answer to an
+// earlier report.
 func (s *State) hasMissingStart(m *machine, r *model.Report) bool {
 	for _, t := range m.tasks {
 		if t.state == "" && !t.stopping && t.unconfirmedStartEpoch == 0 && t.startSentSeq != 0 && r.Seq > t.startSentSeq && t.session == r.Session {
@@ -62,9 +63,10 @@
 	return false
 }
 
-// markUnreachable gives m no work and no answers any more, so that its session is sure
-// to end and its tasks can run elsewhere. It is trusted again once it shows an
-// epoch that only a command from now on carries, later each time.
+// markUnreachable stops giving m tasks and answers, so that its session certainly ends and
+// its tasks can run elsewhere. m counts as reachable again once it shows the epoch that
+// only commands from now on carry. That needs no minimum wait the first time, and one
+// lease more each further time.
 func (s *State) markUnreachable(m *machine, why string) {
 	if m.reachability.unreachable {
 		return
@@ -79,7 +81,7 @@
 	s.dispatchNeeded = true
 }
 
-// confirmDelivery ends that when a report shows that a command has arrived.
+// confirmDelivery makes m reachable again when a report shows that a command has arrived.
 func (s *State) confirmDelivery(m *machine, r *model.Report) {
 	if m.reachability.unreachable && r.Epoch >= m.reachability.recoveryEpoch && s.now >= m.reachability.earliestRecoveryAt {
 		m.reachability.unreachable = false
@@ -88,9 +90,10 @@
 	}
 }
 
-// isUnreachableTooLong says whether m is to be returned: it is out of earshot for long
-// or again and again. Where commands arrive and only answers don't, each
-// session of it would otherwise end whatever runs longer than a lease.
+// isUnreachableTooLong says whether m should be returned, because it has been unreachable
+// for more than three leases or more than twice, while most machines report. If commands
+// arrive and only answers do not, the machine recovers each time, and each of its sessions
+// would end all tasks that run for longer than a lease.
 func (s *State) isUnreachableTooLong(m *machine) bool {
 	return m.reachability.unreachable && (s.now-m.reachability.firstUnreachableAt > 3*s.cfg.Lease || m.reachability.unreachableCount > 2) && s.mostMachinesReport()
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Zones that are out of reach as a whole.
+// This file detects zones that are unreachable as a whole.
 
-// zoneState is what this leader hears of a zone's machines.
+// zoneState is how many of a zone's registered machines report to this leader.
 type zoneState struct {
 	machines, reporting int
 	unreachable         bool
 }
 
-// assessZones finds the zones that are out of reach as a whole: most of their
-// machines, and at least a few, don't report. Nothing is rented there nor
-// counted on, and nothing returned, since what looks lost is only cut off;
-// but not for ever.
+// assessZones finds the unreachable zones: those with at least three machines of which
+// fewer than half report. No machines are rented there, and their capacity is not counted
+// on. Nor are machines returned, because they are probably only cut off from this
+// controller; that holds for maxZoneOutageLeases at most.
 func (s *State) assessZones() map[string]zoneState {
 	zones := map[string]zoneState{}
 	for _, m := range s.machinesByName {
 		if !m.registered || m.returning {
 			continue
 		}
-		z := zones[m.zone]
-		z.machines++
+		zone := zones[m.zone]
+		zone.machines++
 		if m.hasReported && s.now-m.lastHeardAt < s.maxReportGap() {
-			z.reporting++
+			zone.reporting++
 		}
-		zones[m.zone] = z
+		zones[m.zone] = zone
 	}
 	for _, name := range sortedKeys(zones) {
-		z := zones[name]
-		if z.machines < 3 || z.reporting*2 >= z.machines {
+		zone := zones[name]
+		if zone.machines < 3 || zone.reporting*2 >= zone.machines {
 			if _, ok := s.zoneUnreachableSince[name]; ok {
 				delete(s.zoneUnreachableSince, name)
-				s.zoneRecoveredAt[name] = s.now // its machines come back one by one
+				s.zoneRecoveredAt[name] = s.now // the rest of its machines may report later
 			}
 			continue
 		}
@@ -44,14 +44,14 @@
 		}
 		if _, ok := s.zoneUnreachableSince[name]; !ok {
 			s.zoneUnreachableSince[name] = s.now
-			s.log(slog.LevelInfo, "zone out of reach", "zone", name, "machines", z.machines, "heard", z.reporting, "term", s.leadership.Term)
+			s.log(slog.LevelInfo, "zone is unreachable", "zone", name, "machines", zone.machines, "heard", zone.reporting, "term", s.leadership.Term)
 		}
-		z.unreachable = s.now-s.zoneUnreachableSince[name] < maxZoneOutageLeases*s.cfg.Lease
-		zones[name] = z
+		zone.unreachable = s.now-s.zoneUnreachableSince[name] < maxZoneOutageLeases*s.cfg.Lease
+		zones[name] = zone
 	}
 	return zones
 }
 
-// maxZoneOutageLeases is for how many leases a zone may be out of reach before its
-// machines are given up.
+// maxZoneOutageLeases is for how many leases a zone may be unreachable before its machines
+// are given up.
 const maxZoneOutageLeases = 16
