--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -7,47 +7,52 @@
 	"mulleinfall/internal/model"
 )
 
-// fleetState is the leader's dealings with the cloud.
+// This file calls the cloud and applies its lists of machine types and machines.
+
+// fleetState is the leader's state about the cloud and its machines.
 type fleetState struct {
 	listInFlight      bool
 	nextListAt        time.Duration
 	nextPlanAt        time.Duration
-	rentalsInFlight   int    // requests under way
-	lastRentalNumber  uint64 // numbers the requests of this term
-	rentalUnconfirmed bool   // a rental had no answer: machines may come that look like found ones
+	rentalsInFlight   int    // rental requests under way
+	lastRentalNumber  uint64 // number of the last rental request of this term
+	rentalUnconfirmed bool   // a rental had no answer: its machines may turn up unannounced
 	returnInFlight    bool
-	// refusedOffers keeps offers that the cloud had no capacity for: not asked
-	// again before, with pauses that grow.
+	// refusedOffers holds the offers for which the cloud had no capacity. Each is requested
+	// again after a pause that grows.
 	refusedOffers        map[offerKey]*refusal
-	returnedAt           map[string]time.Duration
-	zones                map[string]zoneState     // as of the last second
-	zoneUnreachableSince map[string]time.Duration // since when a zone is out of reach
-	zoneRecoveredAt      map[string]time.Duration // when one was last heard of again
-	limitLogged          bool                     // that the operators' limit on machines was reached
-	// reachableMachines is how many machines there are outside the zones that are cut off,
-	// unaccountedNow how many of them have still to show their tasks.
+	returnedAt           map[string]time.Duration // when each machine was returned, by host
+	zones                map[string]zoneState     // updated each second
+	zoneUnreachableSince map[string]time.Duration // since when a zone has been unreachable
+	zoneRecoveredAt      map[string]time.Duration // when a zone last became reachable again
+	limitLogged          bool                     // the log says that the limit on machines was reached
+	// reachableMachines is the number of machines outside unreachable zones, and
+	// unaccountedMachines the number of those that have not listed their tasks yet.
 	reachableMachines   int
 	unaccountedMachines int
 }
 
+// resetFleet starts a term with empty state about the cloud.
 func (s *State) resetFleet() {
 	s.fleetState = fleetState{refusedOffers: map[offerKey]*refusal{}}
 	s.nextListAt = s.now
 	s.nextPlanAt = s.now + time.Second
 }
 
-// callCloud sends a call to the cloud, within its rate; false: not now.
-func (s *State) callCloud(c CloudCall, done func(CloudResult)) bool {
+// callCloud sends a call to the cloud. It returns false and sends nothing if that would
+// exceed the rate limit.
+func (s *State) callCloud(call CloudCall, done func(CloudResult)) bool {
 	if !s.cloudRate.AllowN(s.limiterTime(), 1) {
 		return false
 	}
-	c.CallID = s.registerCall(func(r any) { done(r.(CloudResult)) })
-	s.emit(c)
+	call.CallID = s.registerCall(func(r any) { done(r.(CloudResult)) })
+	s.emit(call)
 	return true
 }
 
-// refreshTypes learns the machine types: from the state service, or from the
-// cloud where nobody has written them down yet. The leader keeps prices new.
+// refreshTypes requests the machine types from the cloud: on the leader regularly, which
+// keeps the prices up to date; on other controllers only until they know any types, since
+// the state service usually holds the types already.
 func (s *State) refreshTypes() {
 	if s.now < s.nextTypesReadAt {
 		return
@@ -60,50 +65,53 @@
 		return
 	}
 	s.nextTypesReadAt = s.now + 3*time.Second
-	s.callCloud(CloudCall{Op: CloudTypes}, func(d CloudResult) {
-		if d.Status != 200 || len(d.Types) == 0 {
+	s.callCloud(CloudCall{Op: CloudTypes}, func(result CloudResult) {
+		if result.Status != 200 || len(result.Types) == 0 {
 			return
 		}
 		s.nextTypesReadAt = s.now + 30*time.Second
-		changed := s.setTypes(d.Types)
-		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(d.Types)) > s.cfg.MaxValueBytes {
-			return // or too long to be kept: each controller asks the cloud itself
+		changed := s.setTypes(result.Types)
+		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(result.Types)) > s.cfg.MaxValueBytes {
+			return // unchanged, or too long to be stored: then each controller asks the cloud
 		}
-		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(d.Types)}, class: classRegistry, deadline: s.now + userRequestTimeout, done: func(outcome) {}})
+		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(result.Types)}, class: classRegistry, deadline: s.now + userRequestTimeout, done: func(outcome) {}})
 	})
 }
 
+// loadTypes applies the machine types as the state service holds them.
 func (s *State) loadTypes(value json.RawMessage) {
-	var list []model.MachineType
-	if json.Unmarshal(value, &list) == nil && len(list) > 0 {
-		s.setTypes(list)
+	var types []model.MachineType
+	if json.Unmarshal(value, &types) == nil && len(types) > 0 {
+		s.setTypes(types)
 	}
 }
 
-// setTypes takes the list of types; it says whether more than prices changed.
-func (s *State) setTypes(list []model.MachineType) bool {
-	changed := len(list) != len(s.typeList)
-	for i := range list {
-		t := list[i]
-		old := s.types[t.Name]
+// setTypes applies a list of machine types. It says whether a type was added or changed
+// in more than its prices, boot time or zones.
+func (s *State) setTypes(types []model.MachineType) bool {
+	changed := len(types) != len(s.typeList)
+	for i := range types {
+		machineType := types[i]
+		old := s.types[machineType.Name]
 		if old == nil {
 			changed = true
-			s.types[t.Name] = &t
+			s.types[machineType.Name] = &machineType
 			continue
 		}
-		if old.CPUs != t.CPUs || old.GPUs != t.GPUs || old.MemoryGB != t.MemoryGB || old.CacheGB != t.CacheGB || old.FetchGBPerS != t.FetchGBPerS {
+		if old.CPUs != machineType.CPUs || old.GPUs != machineType.GPUs || old.MemoryGB != machineType.MemoryGB || old.CacheGB != machineType.CacheGB || old.FetchGBPerS != machineType.FetchGBPerS {
 			changed = true
 		}
-		*old = t
+		*old = machineType
 	}
-	s.typeList = list
+	s.typeList = types
 	for _, m := range s.machines {
 		s.describeMachine(m, m.endpoint, m.typeName, m.zone, m.spot)
 	}
 	return changed
 }
 
-// cloudTick compares the machines there are with those that are wanted.
+// cloudTick lists the cloud's machines, returns those that are not needed, and rents more,
+// each in its own interval.
 func (s *State) cloudTick() {
 	if !s.listInFlight && s.now >= s.nextListAt {
 		s.listMachines("")
@@ -117,64 +125,67 @@
 	}
 }
 
+// listMachines requests the cloud's machines, page by page. after is the last host of the
+// previous page, or "".
 func (s *State) listMachines(after string) {
 	s.listInFlight = true
 	leadership := s.leadership
 	for _, host := range sortedKeys(s.returnedAt) {
-		s.wasRecentlyReturned(host) // forgets those of long ago
+		s.wasRecentlyReturned(host) // removes old entries
 	}
-	ok := s.callCloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(d CloudResult) {
+	sent := s.callCloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(result CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
 		s.listInFlight = false
 		s.nextListAt = s.now + max(s.cfg.ListLag/2, time.Second)
-		if d.Status != 200 {
+		if result.Status != 200 {
 			return
 		}
-		for _, l := range d.Listed {
-			s.applyListedMachine(l)
+		for _, listed := range result.Listed {
+			s.applyListedMachine(listed)
 		}
-		if d.More && len(d.Listed) > 0 {
-			s.listMachines(d.Listed[len(d.Listed)-1].Host)
+		if result.More && len(result.Listed) > 0 {
+			s.listMachines(result.Listed[len(result.Listed)-1].Host)
 		}
 	})
-	if !ok {
+	if !sent {
 		s.listInFlight = false
 	}
 }
 
-// applyListedMachine takes a line of the machine list. The list lags: what it lacks says
-// nothing, and a machine that is gone may still be on it.
-func (s *State) applyListedMachine(l model.ListedMachine) {
-	m := s.machines[l.Host]
-	age := time.Duration(l.AgeS * float64(time.Second))
+// applyListedMachine applies one entry of the cloud's machine list. The list lags: it may
+// lack new machines and still have machines that are gone.
+func (s *State) applyListedMachine(listed model.ListedMachine) {
+	m := s.machines[listed.Host]
+	age := time.Duration(listed.AgeS * float64(time.Second))
 	if m == nil {
-		if l.State == "failed" {
+		if listed.State == "failed" {
 			return
 		}
-		if s.wasRecentlyReturned(l.Host) {
+		if s.wasRecentlyReturned(listed.Host) {
 			return
 		}
-		m = s.ensureMachine(l.Host)
+		m = s.ensureMachine(listed.Host)
 		m.preexisting = s.newMachinesArePreexisting()
 		m.rentedAt = s.now - age
-		s.describeMachine(m, l.Endpoint, l.Type, l.Zone, l.Spot)
+		s.describeMachine(m, listed.Endpoint, listed.Type, listed.Zone, listed.Spot)
 		return
 	}
 	if m.endpoint == "" {
-		m.endpoint = l.Endpoint
+		m.endpoint = listed.Endpoint
 	}
-	// A new leader doesn't know when it was rented: counted from the election,
-	// its minimum charge kept it for a minute with nothing to do.
+	// A new leader does not know when the machine was rented. When it counted from its
+	// election, the minimum charge kept idle machines for a minute too long.
 	m.rentedAt = min(m.rentedAt, s.now-age)
-	if l.State == "failed" && s.now-m.lastReplyAt > s.cfg.Lease/2 {
+	if listed.State == "failed" && s.now-m.lastReplyAt > s.cfg.Lease/2 {
 		m.failed = true
 	}
 }
 
-// newMachinesArePreexisting says whether a machine that turns up now must have been there
-// before the service first started: nobody can have rented it.
+// newMachinesArePreexisting says whether a machine that turns up now must belong to the
+// operators: this is the service's first term, and no machine of an unconfirmed rental
+// can turn up.
 func (s *State) newMachinesArePreexisting() bool {
 	return s.firstTerm && !s.rentalUnconfirmed
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -9,68 +9,70 @@
 	"mulleinfall/internal/sched"
 )
 
-// What is planned with: what waits, what is there or on its way, what may be had.
+// This file collects the input of fleet.Plan: the demand for machines, the expected
+// capacity, and the offers of the cloud.
 
-// shortestBoot is the boot time of the type that is up first.
+// shortestBoot is the shortest boot time of all machine types.
 func (s *State) shortestBoot() time.Duration {
-	boot := 0.0
+	bootS := 0.0
 	for i := range s.typeList {
-		if b := s.typeList[i].BootS; boot == 0 || b < boot {
-			boot = b
+		if b := s.typeList[i].BootS; bootS == 0 || b < bootS {
+			bootS = b
 		}
 	}
-	return time.Duration(boot * float64(time.Second))
+	return time.Duration(bootS * float64(time.Second))
 }
 
-// demands lists what waits, most urgent first, and the room to keep free.
+// demands lists the waiting tasks, most urgent job first, and then the capacity to keep
+// free for a service and a gang.
 func (s *State) demands() []fleet.Demand {
-	var wants []fleet.Demand
+	var demands []fleet.Demand
 	for _, j := range s.waitingJobs() {
 		if s.now < j.gang.nextRentalAt {
 			continue
 		}
-		w := s.demandFor(j, j.waitingTasks())
-		w.CanWait = !s.isUrgent(j)
-		wants = append(wants, w)
+		demand := s.demandFor(j, j.waitingTasks())
+		demand.CanWait = !s.isUrgent(j)
+		demands = append(demands, demand)
 	}
 	if j := s.largestService(); j != nil && s.cfg.SpareServices > 0 {
-		spare := &job{Job: j.Job}
-		spare.Spread, spare.Zone = false, ""
-		wants = append(wants, s.demandFor(spare, s.cfg.SpareServices))
+		spareService := &job{Job: j.Job}
+		spareService.Spread, spareService.Zone = false, ""
+		demands = append(demands, s.demandFor(spareService, s.cfg.SpareServices))
 	}
-	if g := s.spareGang(); g != nil {
-		w := s.demandFor(g, g.Tasks*s.cfg.SpareGangs)
-		w.AllOrNothing = false // nothing waits for it yet
-		wants = append(wants, w)
+	if spareGang := s.spareGang(); spareGang != nil {
+		demand := s.demandFor(spareGang, spareGang.Tasks*s.cfg.SpareGangs)
+		demand.AllOrNothing = false // nothing waits for it yet
+		demands = append(demands, demand)
 	}
-	return wants
+	return demands
 }
 
-// expectedCapacity lists the room that there is or will be before a machine rented now
-// could be up.
+// expectedCapacity lists the free capacity of each machine, now or by the time when a
+// machine rented now could be up.
 func (s *State) expectedCapacity() []fleet.ExpectedCapacity {
-	var list []fleet.ExpectedCapacity
+	var expected []fleet.ExpectedCapacity
 	horizon := s.now + s.shortestBoot()
 	for _, m := range s.machinesByName {
 		if s.zones[m.zone].unreachable || m.machineType == nil || m.returning || m.failed || m.leaseExpired || m.slow || m.reclaimAt != 0 {
 			continue
 		}
-		c := fleet.ExpectedCapacity{Type: m.typeName, Zone: m.zone, Spot: m.spot, Free: m.view.Capacity}
+		capacity := fleet.ExpectedCapacity{Type: m.typeName, Zone: m.zone, Spot: m.spot, Free: m.view.Capacity}
 		if m.hasReported {
 			if m.reachability.unreachable || s.now-m.lastHeardAt >= s.maxReportGap() {
-				continue // perhaps gone: not to be counted on
+				continue // it may be gone
 			}
-			if c.Free = s.freeAt(m, horizon); c.Free.CPUs <= 0 || c.Free.MemoryGB <= 0 {
-				continue // full for longer: nothing to plan with
+			if capacity.Free = s.freeAt(m, horizon); capacity.Free.CPUs <= 0 || capacity.Free.MemoryGB <= 0 {
+				continue // it has no capacity by then
 			}
 		}
-		list = append(list, c)
+		expected = append(expected, capacity)
 	}
-	return list
+	return expected
 }
 
-// freeAt is the room of m at a time, if nothing more comes to it: room that
-// running work should free is as good as a rented machine.
+// freeAt is the free capacity of m at a time, if it gets no more tasks. It includes the
+// capacity of running tasks that should have ended by then, which need not be rented.
 func (s *State) freeAt(m *machine, at time.Duration) sched.Resources {
 	s.refreshView(m)
 	free := m.view.Free
@@ -91,63 +93,65 @@
 	return time.Duration(s.wallMs-j.submittedAt) * time.Millisecond
 }
 
-// isUrgent says whether j can't wait any longer for room on the machines
-// there are, or for cheap ones: part of the time that its class leaves beyond
-// boot, fetch and run has passed.
+// isUrgent says whether j can no longer wait for capacity on present machines or for
+// cheaper ones. That is so once it has waited for a share, fleet.patience, of the time that
+// the goals of its class leave besides boot, fetch and run.
 func (s *State) isUrgent(j *job) bool {
 	if j.Kind != model.KindBatch {
 		return true
 	}
-	boot, rate := 0.0, 0.0
+	bootS, fetchGBPerS := 0.0, 0.0
 	for i := range s.typeList {
-		t := &s.typeList[i]
-		if t.FitsTask(&j.Job) && (boot == 0 || t.BootS < boot) {
-			boot, rate = t.BootS, t.FetchGBPerS
+		machineType := &s.typeList[i]
+		if machineType.FitsTask(&j.Job) && (bootS == 0 || machineType.BootS < bootS) {
+			bootS, fetchGBPerS = machineType.BootS, machineType.FetchGBPerS
 		}
 	}
-	// Estimates and boot times are often exceeded by half.
-	ready := 1.5*boot + j.ImageGB/max(rate, 0.001)
-	spare := s.completionTarget(j) - time.Duration((ready+1.25*j.EstimateS)*float64(time.Second))
-	if start := s.cfg.Goals[j.Class].StartWithin; start > 0 {
-		spare = min(spare, start-time.Duration(ready*float64(time.Second)))
+	// Boot times often exceed the stated time by half, and run times the estimate.
+	readyS := 1.5*bootS + j.ImageGB/max(fetchGBPerS, 0.001)
+	spare := s.completionTarget(j) - time.Duration((readyS+1.25*j.EstimateS)*float64(time.Second))
+	if startWithin := s.cfg.Goals[j.Class].StartWithin; startWithin > 0 {
+		spare = min(spare, startWithin-time.Duration(readyS*float64(time.Second)))
 	}
 	return s.jobAge(j) >= time.Duration(s.cfg.Patience*float64(spare))
 }
 
-// completionTarget is the time in which j should be done.
+// completionTarget is the time within which j should be done after its submission.
 func (s *State) completionTarget(j *job) time.Duration {
-	g := s.cfg.Goals[j.Class]
+	goal := s.cfg.Goals[j.Class]
 	switch {
-	case g.FinishWithin > 0:
-		return g.FinishWithin
-	case g.DueFactor > 0 && j.DueS != nil:
-		return time.Duration(g.DueFactor * *j.DueS * float64(time.Second))
+	case goal.FinishWithin > 0:
+		return goal.FinishWithin
+	case goal.DueFactor > 0 && j.DueS != nil:
+		return time.Duration(goal.DueFactor * *j.DueS * float64(time.Second))
 	case j.DueS != nil:
 		return time.Duration(*j.DueS * float64(time.Second))
 	}
 	return s.cfg.CancelWithin
 }
 
-func (s *State) demandFor(j *job, n int) fleet.Demand {
-	w := fleet.Demand{Job: &j.Job, Count: n, Need: j.need()}
-	w.OneZone, w.AllOrNothing = j.OneZone, j.Kind == model.KindGang
-	if w.OneZone && len(j.tasks) > 0 {
-		bound := j.Job
-		for zone, n := range j.tasksByZone {
-			if n > 0 {
-				bound.Zone = zone
+// demandFor returns the demand of count tasks of j.
+func (s *State) demandFor(j *job, count int) fleet.Demand {
+	demand := fleet.Demand{Job: &j.Job, Count: count, Need: j.need()}
+	demand.OneZone, demand.AllOrNothing = j.OneZone, j.Kind == model.KindGang
+	if demand.OneZone && len(j.tasks) > 0 {
+		jobInZone := j.Job
+		for zone, bound := range j.tasksByZone {
+			if bound > 0 {
+				jobInZone.Zone = zone
 			}
 		}
-		w.Job = &bound
+		demand.Job = &jobInZone
 	}
 	if j.Spread {
-		w.ZoneAllowance = func(zone string) int {
+		demand.ZoneAllowance = func(zone string) int {
 			return j.MaxTasksPerZone() - j.tasksByZone[zone]
 		}
 	}
-	return w
+	return demand
 }
 
+// waitingJobs lists the jobs with waiting tasks, by priority and then by arrival.
 func (s *State) waitingJobs() []*job {
 	var queue []*job
 	for _, j := range s.active {
@@ -164,26 +168,27 @@
 	return queue
 }
 
-// offers lists what can be asked for now.
-func (s *State) offers(have map[string]int) []fleet.Offer {
-	var out []fleet.Offer
+// offers lists the machines that can be requested from the cloud now. machinesByZone is
+// the number of present machines in each zone.
+func (s *State) offers(machinesByZone map[string]int) []fleet.Offer {
+	var offers []fleet.Offer
 	for i := range s.typeList {
-		t := s.types[s.typeList[i].Name]
-		for _, zone := range t.Zones {
+		machineType := s.types[s.typeList[i].Name]
+		for _, zone := range machineType.Zones {
 			if s.zones[zone].unreachable {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
-				if r := s.refusedOffers[offerKey{t.Name, zone, spot}]; r != nil && s.now < r.retryAt {
+				if r := s.refusedOffers[offerKey{machineType.Name, zone, spot}]; r != nil && s.now < r.retryAt {
 					continue
 				}
-				price := t.Price
+				price := machineType.Price
 				if spot {
-					price = t.SpotPrice
+					price = machineType.SpotPrice
 				}
-				out = append(out, fleet.Offer{Type: t, Zone: zone, Spot: spot, Price: price, MachinesInZone: have[zone]})
+				offers = append(offers, fleet.Offer{Type: machineType, Zone: zone, Spot: spot, Price: price, MachinesInZone: machinesByZone[zone]})
 			}
 		}
 	}
-	return out
+	return offers
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -9,23 +9,23 @@
 	"mulleinfall/internal/fleet"
 )
 
-// Renting: what waits against what is there and on its way.
+// This file rents machines from the cloud.
 
-// rentMissing rents for the tasks that found no room, and for the room to keep
-// free for services and gangs.
+// rentMissing rents machines for waiting tasks that no present or expected machine has
+// capacity for, and for the capacity to keep free for services and gangs.
 func (s *State) rentMissing() {
 	if s.rentalsInFlight > 0 {
-		return // what is asked for already must not be asked for twice
+		return // the machines under way must not be requested twice
 	}
-	wants := s.demands()
-	if len(wants) == 0 {
+	demands := s.demands()
+	if len(demands) == 0 {
 		return
 	}
-	have := map[string]int{}
+	machinesByZone := map[string]int{}
 	for _, m := range s.machinesByName {
-		have[m.zone]++
+		machinesByZone[m.zone]++
 	}
-	rentals, unmet := fleet.Plan(wants, s.expectedCapacity(), s.offers(have), s.rentalLimit())
+	rentals, unmet := fleet.Plan(demands, s.expectedCapacity(), s.offers(machinesByZone), s.rentalLimit())
 	for _, id := range unmet {
 		s.postponeRentals(id)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// rentalLimit is how many machines more the operators allow.
+// rentalLimit is how many more machines the operators allow.
 func (s *State) rentalLimit() int {
 	if s.cfg.MaxMachines == 0 {
 		return math.MaxInt
@@ -42,60 +42,63 @@
 	limit := s.cfg.MaxMachines - len(s.machines)
 	if limit <= 0 && !s.limitLogged {
 		s.limitLogged = true
-		s.log(slog.LevelWarn, "as many machines as the operators allow: nothing more is rented", "max_machines", s.cfg.MaxMachines, "term", s.leadership.Term)
+		s.log(slog.LevelWarn, "reached the number of machines that the operators allow: renting no more", "max_machines", s.cfg.MaxMachines, "term", s.leadership.Term)
 	}
 	return limit
 }
 
-// maxRentPauses bounds the pause between rentals for a gang that the cloud can't
-// satisfy: 2^6 leases.
+// maxRentPauses bounds the pause between rentals for a gang for which the cloud has too few
+// machines: 2^6 leases.
 const maxRentPauses = 6
 
-// postponeRentals takes that the cloud doesn't give all that a gang needs. What
-// was rented for it stands idle and goes back; asked for again and again it would
-// cost its price for as long as the gang waits.
+// postponeRentals handles a gang for which the cloud does not have all machines that it
+// needs. The machines that were rented for it stay idle and are returned. So further
+// rentals wait for a pause that doubles; otherwise such machines would be rented and paid
+// for again and again as long as the gang waits.
 func (s *State) postponeRentals(id string) {
 	j := s.active[id]
 	if j == nil || !j.gang.machinesRented {
-		return // nothing was spent: a machine may be had at any moment
+		return // no machines were rented, so there is no cost, and the cloud may have some soon
 	}
 	j.gang.machinesRented = false
 	j.gang.nextRentalAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauses)
 	j.gang.rentPauses++
 }
 
-// requestRental asks the cloud for machines. The name is built from the term, so that
-// no two requests ever share one; a repeat after silence uses the same.
-func (s *State) requestRental(r fleet.Rental) {
+// requestRental requests machines from the cloud. The name of the request contains the
+// term, so that no two requests have the same name. A retry of an unanswered request uses
+// the same name again, so that it is not carried out twice.
+func (s *State) requestRental(rental fleet.Rental) {
 	if s.rentalsInFlight >= 4 {
 		return
 	}
 	s.lastRentalNumber++
-	name := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.lastRentalNumber)
-	s.sendRental(name, r, 0)
+	request := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.lastRentalNumber)
+	s.sendRental(request, rental, 0)
 }
 
-func (s *State) sendRental(name string, r fleet.Rental, try int) {
+// sendRental sends a rental request, and repeats it up to three times if it has no answer.
+func (s *State) sendRental(request string, rental fleet.Rental, try int) {
 	leadership := s.leadership
-	key := offerKey{r.Type, r.Zone, r.Spot}
-	ok := s.callCloud(CloudCall{Op: CloudRent, Request: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50)}, func(d CloudResult) {
+	key := offerKey{rental.Type, rental.Zone, rental.Spot}
+	sent := s.callCloud(CloudCall{Op: CloudRent, Request: request, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Count: min(rental.Count, 50)}, func(result CloudResult) {
 		if s.leadership != leadership {
 			return
 		}
 		s.rentalsInFlight--
-		switch d.Status {
+		switch result.Status {
 		case 200:
-			s.markGangsRented(r.Gangs)
-			s.log(slog.LevelInfo, "rented", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(d.Hosts), "term", leadership.Term)
-			for _, h := range d.Hosts {
-				m := s.ensureMachine(h)
+			s.markGangsRented(rental.Gangs)
+			s.log(slog.LevelInfo, "rented", "request", request, "type", rental.Type, "zone", rental.Zone, "spot", rental.Spot, "asked", rental.Count, "got", len(result.Hosts), "term", leadership.Term)
+			for _, host := range result.Hosts {
+				m := s.ensureMachine(host)
 				if !m.hasReported {
 					m.rentedAt = s.now
 				}
-				m.preexisting = false // up before the answer that names it
-				s.describeMachine(m, "", r.Type, r.Zone, r.Spot)
+				m.preexisting = false // it may have reported before this answer came
+				s.describeMachine(m, "", rental.Type, rental.Zone, rental.Spot)
 			}
-			if len(d.Hosts) < min(r.Count, 50) {
+			if len(result.Hosts) < min(rental.Count, 50) {
 				s.recordRefusal(key)
 			} else {
 				delete(s.refusedOffers, key)
@@ -103,18 +106,18 @@
 		case 0:
 			s.rentalUnconfirmed = true
 			if try < 3 {
-				s.sendRental(name, r, try+1)
+				s.sendRental(request, rental, try+1)
 			}
 		default:
 			s.recordRefusal(key)
 		}
 	})
-	if ok {
+	if sent {
 		s.rentalsInFlight++
 	}
 }
 
-// markGangsRented notes that machines were rented for gangs.
+// markGangsRented records that machines were rented for gangs.
 func (s *State) markGangsRented(gangs []string) {
 	for _, id := range gangs {
 		if j := s.active[id]; j != nil {
@@ -123,6 +126,8 @@
 	}
 }
 
+// recordRefusal records that the cloud did not have all machines of an offer, and so
+// excludes the offer for half a lease, and for a whole lease after repeated refusals.
 func (s *State) recordRefusal(key offerKey) {
 	r := s.refusedOffers[key]
 	if r == nil {
@@ -133,11 +138,13 @@
 	r.retryAt = s.now + s.cfg.Lease/2<<min(r.count-1, 1)
 }
 
+// offerKey identifies a kind of machine that the cloud offers.
 type offerKey struct {
 	typeName, zone string
 	spot           bool
 }
 
+// refusal is how often the cloud has refused an offer, and when to request it again.
 type refusal struct {
 	retryAt time.Duration
 	count   int
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -8,17 +8,18 @@
 	"mulleinfall/internal/model"
 )
 
-// A machine can be much slower than its type promises. Its tasks then miss
-// what the others of their job reach, and it goes on drawing work because it
-// holds their image. It is found by what its tasks took, measured by the
-// other tasks of the same jobs.
+// This file finds machines that are much slower than their type promises. Their tasks take
+// longer than other tasks of the same job, but they keep getting tasks, because they hold
+// the images. A machine counts as slow if slowSamples of its tasks took slowRatio times as
+// long as the other tasks of their jobs.
 const (
-	slowRatio   = 2.0 // twice what the others took
-	slowSamples = 3   // on this many tasks
+	slowRatio   = 2.0
+	slowSamples = 3
 )
 
-// expectedRunTime is how long a task of j should run: what its finished tasks took, or
-// the owner's estimate while too few have finished.
+// expectedRunTime is how long a task of j should run: the median of its finished tasks, or
+// the user's estimate while fewer than slowSamples have finished. It also says whether the
+// time comes from finished tasks.
 func (j *job) expectedRunTime() (time.Duration, bool) {
 	if len(j.runTimes) < slowSamples {
 		return time.Duration(j.EstimateS * float64(time.Second)), false
@@ -26,22 +27,24 @@
 	return j.runTimes[len(j.runTimes)/2], true
 }
 
-// recordRunTime notes what a finished task took. Only starts that this leader saw count.
+// recordRunTime records the run time of a finished task. Tasks inherited from a former
+// leader are left out, since this leader did not see their start.
 func (s *State) recordRunTime(t *task) {
 	if t.inherited || t.runningSince == 0 || t.job.Kind == model.KindGang {
-		return // a gang runs at the speed of its slowest machine, whichever that is
+		return // all tasks of a gang run at the speed of its slowest machine
 	}
 	took := s.now - t.runningSince
-	if e, sure := t.job.expectedRunTime(); sure && e > 0 {
-		t.machine.compareRunTime(float64(took) / float64(e))
+	if expected, known := t.job.expectedRunTime(); known && expected > 0 {
+		t.machine.compareRunTime(float64(took) / float64(expected))
 	}
 	if len(t.job.runTimes) < 64 {
-		at, _ := slices.BinarySearch(t.job.runTimes, took)
-		t.job.runTimes = slices.Insert(t.job.runTimes, at, took)
+		index, _ := slices.BinarySearch(t.job.runTimes, took)
+		t.job.runTimes = slices.Insert(t.job.runTimes, index, took)
 	}
 }
 
-// compareRunTime weighs one task's time against the time it should have taken.
+// compareRunTime counts a task run as slow or resets the count. ratio is the run time
+// divided by the expected run time.
 func (m *machine) compareRunTime(ratio float64) {
 	if ratio >= slowRatio {
 		m.slowRuns++
@@ -50,13 +53,14 @@
 	}
 }
 
-// slowState paces the search for slow machines.
+// slowState is the leader's state about the search for slow machines.
 type slowState struct {
 	nextSlowScanAt time.Duration
 }
 
-// findSlowMachines looks for slow machines among those whose tasks overrun, and moves
-// away what would end sooner if it began anew elsewhere.
+// findSlowMachines marks machines as slow, once per second. Running tasks that already
+// exceed the expected time count like finished ones. It then stops the tasks that would
+// end sooner after a restart on another machine.
 func (s *State) findSlowMachines() {
 	if s.now < s.nextSlowScanAt {
 		return
@@ -66,27 +70,28 @@
 		if m.slow || !m.reconciled {
 			continue
 		}
-		signs := m.slowRuns
+		slowTasks := m.slowRuns
 		for _, t := range m.tasks {
-			e, sure := t.job.expectedRunTime()
-			if sure && t.job.Kind != model.KindGang && t.state == model.TaskRunning && t.runningSince > 0 && s.now-t.runningSince > time.Duration(slowRatio*float64(e)) {
-				signs++
+			expected, known := t.job.expectedRunTime()
+			if known && t.job.Kind != model.KindGang && t.state == model.TaskRunning && t.runningSince > 0 && s.now-t.runningSince > time.Duration(slowRatio*float64(expected)) {
+				slowTasks++
 			}
 		}
-		if signs < slowSamples {
+		if slowTasks < slowSamples {
 			continue
 		}
 		m.slow = true
 		s.dispatchNeeded = true
-		s.log(slog.LevelInfo, "machine is slow", "host", m.host, "signs", signs, "term", s.leadership.Term)
+		s.log(slog.LevelInfo, "machine is slow", "host", m.host, "signs", slowTasks, "term", s.leadership.Term)
 		for _, name := range sortedKeys(m.tasks) {
 			s.moveOffSlowMachine(m.tasks[name])
 		}
 	}
 }
 
-// moveOffSlowMachine stops t if running it anew elsewhere should be quicker than
-// the rest of its run here.
+// moveOffSlowMachine stops t if a restart on another machine should take less time than
+// the rest of its run on this one. A task with checkpoints is always stopped, with time
+// to save.
 func (s *State) moveOffSlowMachine(t *task) {
 	if t.stopping || t.job.Kind == model.KindService {
 		return
@@ -95,9 +100,9 @@
 		s.stopTask(t, t.job.CheckpointCostS*1.25)
 		return
 	}
-	e, _ := t.job.expectedRunTime()
-	whole := time.Duration(2 * slowRatio * float64(e)) // slower than slowRatio: take twice that
-	if t.state != model.TaskRunning || whole-(s.now-t.runningSince) > e+e/4 {
+	expected, _ := t.job.expectedRunTime()
+	estimatedRun := time.Duration(2 * slowRatio * float64(expected)) // assume twice the limit for slow runs
+	if t.state != model.TaskRunning || estimatedRun-(s.now-t.runningSince) > expected+expected/4 {
 		s.stopTask(t, 0)
 	}
 }
