--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -107,7 +107,7 @@
 			bootS, fetchGBPerS = machineType.BootS, machineType.FetchGBPerS
 		}
 	}
-	// Boot times often exceed the stated time by half, and run times the estimate.
+	// Actual boot and run times often exceed the stated ones by half.
 	readyS := 1.5*bootS + j.ImageGB/max(fetchGBPerS, 0.001)
 	spare := s.completionTarget(j) - time.Duration((readyS+1.25*j.EstimateS)*float64(time.Second))
 	if startWithin := s.cfg.Goals[j.Class].StartWithin; startWithin > 0 {
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -59,8 +59,8 @@
 }
 
 // findSlowMachines marks machines as slow, once per second. Running tasks that already
-// exceed the expected time count like finished ones. It then stops the tasks that would
-// end sooner after a restart on another machine.
+// exceed slowRatio times the expected time count like finished slow ones. Of a slow machine
+// it stops the tasks that should end sooner after a restart on another machine.
 func (s *State) findSlowMachines() {
 	if s.now < s.nextSlowScanAt {
 		return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet works out which machines to rent for work that finds no room.
-// It is pure: what is wanted, what is on its way and what can be had go in,
-// the rentals that make up the difference come out.
+// Package fleet plans which machines to rent for tasks without capacity. Plan is a pure
+// function: from the demand, the expected capacity and the offers of the cloud, it computes
+// the rentals that are missing.
 package fleet
 
 import (
@@ -12,91 +12,95 @@
 	"mulleinfall/internal/sched"
 )
 
-// Demand is a number of like tasks that want room.
+// Demand is a number of tasks of one job that need capacity.
 type Demand struct {
 	Job   *model.Job
-	Need  sched.Resources
+	Need  sched.Resources // of one task
 	Count int
-	// CanWait: no hurry yet, so only spot machines are rented for it.
+	// CanWait says that the tasks are not urgent, so that only spot machines, which are
+	// cheaper, are rented for them.
 	CanWait bool
-	// OneZone: all in one zone. Together: of use only all at once.
+	// OneZone says that all tasks must be in one zone, AllOrNothing that they can only run
+	// all at once.
 	OneZone, AllOrNothing bool
-	// ZoneAllowance is how many more tasks of the job each zone may take; nil: any.
+	// ZoneAllowance is how many more tasks of the job each zone may take; nil: any number.
 	ZoneAllowance func(zone string) int
 }
 
-// ExpectedCapacity is a machine that has room or will have it soon.
+// ExpectedCapacity is a machine that has free capacity or will have it soon.
 type ExpectedCapacity struct {
 	Type, Zone string
 	Spot       bool
 	Free       sched.Resources
 }
 
-// Offer is a kind of machine that may be rented now.
+// Offer is a kind of machine that the cloud may rent now.
 type Offer struct {
 	Type  *model.MachineType
 	Zone  string
 	Spot  bool
 	Price float64
-	// MachinesInZone is how many machines are in the zone already; equal offers go to
-	// the zone with the fewest.
+	// MachinesInZone is how many machines are in the zone already. Of offers with equal
+	// cost, the one in the zone with the fewest machines is taken.
 	MachinesInZone int
 }
 
-// Rental is a request to the cloud.
+// Rental is a number of machines to request from the cloud.
 type Rental struct {
 	Type, Zone string
 	Spot       bool
 	Count      int
-	// Gangs are the jobs of use only all at once for which some of it is meant.
+	// Gangs are the ids of the all-or-nothing jobs for which some of the machines are meant.
 	Gangs []string
 }
 
-func fits(w *Demand, typ, zone string, spot bool) bool {
-	j := w.Job
-	return j.AllowsType(typ) && (j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
+// fits says whether the demand's job may use machines of a type, in a zone, spot or not.
+func fits(demand *Demand, typeName, zone string, spot bool) bool {
+	j := demand.Job
+	return j.AllowsType(typeName) && (j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
 }
 
-// Plan fills what is coming with the wants, in order, and rents for the rest,
-// at most limit machines. For tasks that are of use only all at once nothing is
-// rented where not all of them find room; unmet lists the jobs of those.
-func Plan(wants []Demand, coming []ExpectedCapacity, offers []Offer, limit int) (rentals []Rental, unmet []string) {
-	p := &plan{expected: coming, offers: slices.Clone(offers), rentalIndex: map[int]int{}, limit: limit}
-	for i := range wants {
-		w := &wants[i]
-		if !w.AllOrNothing {
-			p.satisfy(w)
+// Plan places the demands, in order, on the expected capacity, and rents machines for the
+// rest, at most limit. It rents none for an all-or-nothing demand that it can't place as a
+// whole; unmet lists the ids of the jobs of such demands.
+func Plan(demands []Demand, expected []ExpectedCapacity, offers []Offer, limit int) (rentals []Rental, unmet []string) {
+	p := &plan{expected: expected, offers: slices.Clone(offers), rentalIndex: map[int]int{}, limit: limit}
+	for i := range demands {
+		demand := &demands[i]
+		if !demand.AllOrNothing {
+			p.satisfy(demand)
 			continue
 		}
 		before := p.clone()
-		if p.satisfy(w) > 0 {
-			*p = *before // a part of it would stand idle
-			unmet = append(unmet, w.Job.ID)
+		if p.satisfy(demand) > 0 {
+			*p = *before // machines for a part of it would be idle
+			unmet = append(unmet, demand.Job.ID)
 		}
 	}
 	return p.rentals, unmet
 }
 
-// plan is what is rented so far, and the room that is left.
+// plan is the state of a call of Plan.
 type plan struct {
-	expected    []ExpectedCapacity
+	expected    []ExpectedCapacity // with the capacity that is left
 	offers      []Offer
 	rentals     []Rental
-	rentalIndex map[int]int // of an offer: its place in rentals
-	limit       int
+	rentalIndex map[int]int // index in rentals, by the index of the offer
+	limit       int         // how many more machines may be rented
 }
 
+// clone copies the plan, so that a failed placement can be undone.
 func (p *plan) clone() *plan {
-	c := *p
-	c.expected, c.offers, c.rentals, c.rentalIndex = slices.Clone(p.expected), slices.Clone(p.offers), slices.Clone(p.rentals), maps.Clone(p.rentalIndex)
-	return &c
+	copied := *p
+	copied.expected, copied.offers, copied.rentals, copied.rentalIndex = slices.Clone(p.expected), slices.Clone(p.offers), slices.Clone(p.rentals), maps.Clone(p.rentalIndex)
+	return &copied
 }
 
-// openDemand is a want and what is left of it.
+// openDemand is a demand during its placement.
 type openDemand struct {
 	*Demand
-	remaining    int
-	placedByZone map[string]int // tasks that found room, by zone
+	remaining    int            // tasks not placed yet
+	placedByZone map[string]int // tasks placed so far, by zone
 }
 
 // zoneAllowance is how many more tasks zone may take.
@@ -107,121 +111,124 @@
 	return o.ZoneAllowance(zone) - o.placedByZone[zone]
 }
 
-// fill puts as many tasks as fit into free and returns what is left of it.
-func (o *openDemand) fill(zone string, free sched.Resources) sched.Resources {
-	for o.remaining > 0 && o.zoneAllowance(zone) > 0 && free.Fits(o.Need) {
-		free = free.Sub(o.Need)
+// fill places as many tasks as fit into the capacity of a machine, and returns the capacity
+// that is left.
+func (o *openDemand) fill(zone string, capacity sched.Resources) sched.Resources {
+	for o.remaining > 0 && o.zoneAllowance(zone) > 0 && capacity.Fits(o.Need) {
+		capacity = capacity.Sub(o.Need)
 		o.placedByZone[zone]++
 		o.remaining--
 	}
-	return free
+	return capacity
 }
 
-// satisfy finds room for a want, rents what is missing, and returns how many tasks
-// have found none.
-func (p *plan) satisfy(w *Demand) int {
-	o := &openDemand{Demand: w, remaining: w.Count, placedByZone: map[string]int{}}
-	if w.OneZone && w.Job.Zone == "" {
-		w.Job = withChosenZone(w, p.expected, p.offers)
+// satisfy places a demand on the expected capacity, rents machines for the rest, and returns
+// how many tasks it could not place.
+func (p *plan) satisfy(demand *Demand) int {
+	open := &openDemand{Demand: demand, remaining: demand.Count, placedByZone: map[string]int{}}
+	if demand.OneZone && demand.Job.Zone == "" {
+		demand.Job = withChosenZone(demand, p.expected, p.offers)
 	}
-	for k := range p.expected {
-		c := &p.expected[k]
-		if fits(w, c.Type, c.Zone, c.Spot) {
-			c.Free = o.fill(c.Zone, c.Free)
+	for index := range p.expected {
+		machine := &p.expected[index]
+		if fits(demand, machine.Type, machine.Zone, machine.Spot) {
+			machine.Free = open.fill(machine.Zone, machine.Free)
 		}
 	}
-	for o.remaining > 0 && p.limit > 0 {
-		best := p.cheapestOffer(o)
-		if best < 0 {
+	for open.remaining > 0 && p.limit > 0 {
+		offerIndex := p.cheapestOffer(open)
+		if offerIndex < 0 {
 			break
 		}
-		p.rent(best, o)
+		p.rent(offerIndex, open)
 	}
-	return o.remaining
-}
-
-// cheapestOffer is the offer that costs least a task, if its machine is filled as far
-// as this want can fill it; -1 if none will do.
-func (p *plan) cheapestOffer(o *openDemand) int {
-	best, bestCost := -1, math.Inf(1)
-	for k := range p.offers {
-		f := &p.offers[k]
-		capacity := f.capacity()
-		if o.CanWait && !f.Spot || !fits(o.Demand, f.Type.Name, f.Zone, f.Spot) || o.zoneAllowance(f.Zone) <= 0 || !capacity.Fits(o.Need) {
+	return open.remaining
+}
+
+// cheapestOffer returns the index of the offer with the lowest price per task, when as many
+// tasks of the demand as possible are placed on the machine. It returns -1 if no offer
+// suits.
+func (p *plan) cheapestOffer(open *openDemand) int {
+	bestIndex, bestCost := -1, math.Inf(1)
+	for index := range p.offers {
+		offer := &p.offers[index]
+		capacity := offer.capacity()
+		if open.CanWait && !offer.Spot || !fits(open.Demand, offer.Type.Name, offer.Zone, offer.Spot) || open.zoneAllowance(offer.Zone) <= 0 || !capacity.Fits(open.Need) {
 			continue
 		}
-		cost := f.Price / float64(min(o.remaining, o.zoneAllowance(f.Zone), tasksThatFit(capacity, o.Need)))
-		if cost < bestCost-1e-9 || math.Abs(cost-bestCost) <= 1e-9 && best >= 0 && f.MachinesInZone < p.offers[best].MachinesInZone {
-			best, bestCost = k, cost
+		cost := offer.Price / float64(min(open.remaining, open.zoneAllowance(offer.Zone), tasksThatFit(capacity, open.Need)))
+		if cost < bestCost-1e-9 || math.Abs(cost-bestCost) <= 1e-9 && bestIndex >= 0 && offer.MachinesInZone < p.offers[bestIndex].MachinesInZone {
+			bestIndex, bestCost = index, cost
 		}
 	}
-	return best
+	return bestIndex
 }
 
-// rent adds a machine of an offer and fills it.
-func (p *plan) rent(offer int, o *openDemand) {
-	f := &p.offers[offer]
-	f.MachinesInZone++
+// rent adds a machine of an offer to the rentals and places tasks on it.
+func (p *plan) rent(index int, open *openDemand) {
+	offer := &p.offers[index]
+	offer.MachinesInZone++
 	p.limit--
-	at, ok := p.rentalIndex[offer]
+	position, ok := p.rentalIndex[index]
 	if !ok {
-		at = len(p.rentals)
-		p.rentalIndex[offer] = at
-		p.rentals = append(p.rentals, Rental{Type: f.Type.Name, Zone: f.Zone, Spot: f.Spot})
+		position = len(p.rentals)
+		p.rentalIndex[index] = position
+		p.rentals = append(p.rentals, Rental{Type: offer.Type.Name, Zone: offer.Zone, Spot: offer.Spot})
 	}
-	r := &p.rentals[at]
-	r.Count++
-	if o.AllOrNothing && !slices.Contains(r.Gangs, o.Job.ID) {
-		r.Gangs = append(slices.Clone(r.Gangs), o.Job.ID)
+	rental := &p.rentals[position]
+	rental.Count++
+	if open.AllOrNothing && !slices.Contains(rental.Gangs, open.Job.ID) {
+		rental.Gangs = append(slices.Clone(rental.Gangs), open.Job.ID)
 	}
-	p.expected = append(p.expected, ExpectedCapacity{f.Type.Name, f.Zone, f.Spot, o.fill(f.Zone, f.capacity())})
+	p.expected = append(p.expected, ExpectedCapacity{offer.Type.Name, offer.Zone, offer.Spot, open.fill(offer.Zone, offer.capacity())})
 }
 
-// capacity is the room of an empty machine.
+// capacity is the capacity of an empty machine of this offer.
 func (o *Offer) capacity() sched.Resources {
 	return sched.Resources{CPUs: o.Type.CPUs, GPUs: o.Type.GPUs, MemoryGB: o.Type.MemoryGB}
 }
 
-// withChosenZone picks the zone for tasks that must all be in one: where most of them
-// find room, among those where the rest could be rented.
-func withChosenZone(w *Demand, coming []ExpectedCapacity, offers []Offer) *model.Job {
-	room := map[string]int{}
-	for _, c := range coming {
-		if fits(w, c.Type, c.Zone, c.Spot) {
-			for free := c.Free; free.Fits(w.Need); free = free.Sub(w.Need) {
-				room[c.Zone]++
+// withChosenZone returns a copy of the job of a one-zone demand, with the zone chosen: the
+// one whose expected capacity takes most of the tasks. Unless it takes all of them, the zone
+// must have an offer for the rest.
+func withChosenZone(demand *Demand, expected []ExpectedCapacity, offers []Offer) *model.Job {
+	placeable := map[string]int{}
+	for _, machine := range expected {
+		if fits(demand, machine.Type, machine.Zone, machine.Spot) {
+			for free := machine.Free; free.Fits(demand.Need); free = free.Sub(demand.Need) {
+				placeable[machine.Zone]++
 			}
 		}
 	}
-	best, most, fewest := "", -1, 0
-	for _, o := range offers {
-		if w.CanWait && !o.Spot || !fits(w, o.Type.Name, o.Zone, o.Spot) || !o.capacity().Fits(w.Need) {
+	bestZone, bestPlaceable, bestMachines := "", -1, 0
+	for _, offer := range offers {
+		if demand.CanWait && !offer.Spot || !fits(demand, offer.Type.Name, offer.Zone, offer.Spot) || !offer.capacity().Fits(demand.Need) {
 			continue
 		}
-		if n := min(room[o.Zone], w.Count); n > most || n == most && (o.MachinesInZone < fewest || o.MachinesInZone == fewest && o.Zone < best) {
-			best, most, fewest = o.Zone, n, o.MachinesInZone
+		if n := min(placeable[offer.Zone], demand.Count); n > bestPlaceable || n == bestPlaceable && (offer.MachinesInZone < bestMachines || offer.MachinesInZone == bestMachines && offer.Zone < bestZone) {
+			bestZone, bestPlaceable, bestMachines = offer.Zone, n, offer.MachinesInZone
 		}
 	}
-	for zone, n := range room {
-		if n >= w.Count && (most < w.Count || zone < best) {
-			best, most = zone, w.Count
+	for zone, n := range placeable {
+		if n >= demand.Count && (bestPlaceable < demand.Count || zone < bestZone) {
+			bestZone, bestPlaceable = zone, demand.Count
 		}
 	}
-	j := *w.Job
-	j.Zone = best // "": none to be had now
-	return &j
+	job := *demand.Job
+	job.Zone = bestZone // "" if no zone suits now
+	return &job
 }
 
-// tasksThatFit is how many tasks of one need fill a capacity.
+// tasksThatFit is how many tasks with this need fit into a capacity, at least one.
 func tasksThatFit(capacity, need sched.Resources) int {
-	n := math.Inf(1)
-	for _, p := range [][2]float64{{capacity.CPUs, need.CPUs}, {capacity.GPUs, need.GPUs}, {capacity.MemoryGB, need.MemoryGB}} {
-		if p[1] > 0 {
-			n = min(n, math.Floor(p[0]/p[1]+1e-6))
+	count := math.Inf(1)
+	for _, resource := range [][2]float64{{capacity.CPUs, need.CPUs}, {capacity.GPUs, need.GPUs}, {capacity.MemoryGB, need.MemoryGB}} {
+		if resource[1] > 0 {
+			count = min(count, math.Floor(resource[0]/resource[1]+1e-6))
 		}
 	}
-	if math.IsInf(n, 1) {
+	if math.IsInf(count, 1) {
 		return 1
 	}
-	return max(int(n), 1)
+	return max(int(count), 1)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -13,64 +13,66 @@
 	large = &model.MachineType{Name: "large", CPUs: 16, MemoryGB: 64, Price: 0.7, SpotPrice: 0.3}
 )
 
+// offers returns spot and regular offers of both types in zones a and b.
 func offers() []Offer {
-	var out []Offer
+	var all []Offer
 	for _, zone := range []string{"a", "b"} {
 		for _, t := range []*model.MachineType{small, large} {
-			out = append(out, Offer{Type: t, Zone: zone, Price: t.Price}, Offer{Type: t, Zone: zone, Spot: true, Price: t.SpotPrice})
+			all = append(all, Offer{Type: t, Zone: zone, Price: t.Price}, Offer{Type: t, Zone: zone, Spot: true, Price: t.SpotPrice})
 		}
 	}
-	return out
+	return all
 }
 
-func newDemand(n int, j model.Job) Demand {
-	j.CPUs, j.MemoryGB = 2, 4
-	return Demand{Job: &j, Need: sched.Resources{CPUs: 2, MemoryGB: 4}, Count: n}
+// newDemand returns a demand of count tasks of 2 CPUs and 4 GB each.
+func newDemand(count int, job model.Job) Demand {
+	job.CPUs, job.MemoryGB = 2, 4
+	return Demand{Job: &job, Need: sched.Resources{CPUs: 2, MemoryGB: 4}, Count: count}
 }
 
 func TestPlan(t *testing.T) {
 	spread := newDemand(2, model.Job{})
 	spread.ZoneAllowance = func(string) int { return 1 }
-	patient := newDemand(2, model.Job{Spot: true})
-	patient.CanWait = true
-	nospot := newDemand(2, model.Job{})
-	nospot.CanWait = true
+	canWait := newDemand(2, model.Job{Spot: true})
+	canWait.CanWait = true
+	canWaitWithoutSpot := newDemand(2, model.Job{})
+	canWaitWithoutSpot.CanWait = true
 	gang := func(n int) Demand {
-		w := newDemand(n, model.Job{ID: "gang"})
-		w.AllOrNothing = true
-		return w
+		demand := newDemand(n, model.Job{ID: "gang"})
+		demand.AllOrNothing = true
+		return demand
 	}
 	cases := []struct {
-		name   string
-		wants  []Demand
-		coming []ExpectedCapacity
-		limit  int
-		want   string
+		name     string
+		demands  []Demand
+		expected []ExpectedCapacity
+		limit    int
+		want     string
 	}{
-		{"nothing is wanted", nil, nil, 9, "[]"},
+		{"no demand", nil, nil, 9, "[]"},
 		{"two tasks fill a small machine", []Demand{newDemand(2, model.Job{})}, nil, 9, "[{small a false 1 []}]"},
-		{"many tasks fill a large one", []Demand{newDemand(8, model.Job{})}, nil, 9, "[{large a false 1 []}]"},
-		{"spot where the job may", []Demand{newDemand(2, model.Job{Spot: true})}, nil, 9, "[{small a true 1 []}]"},
-		{"what is coming is filled first", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[]"},
-		{"but not on a kind that the job may not use", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", true, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[{small a false 1 []}]"},
-		{"spread over zones", []Demand{spread}, nil, 9, "[{small a false 1 []} {small b false 1 []}]"},
-		{"only zone b", []Demand{newDemand(2, model.Job{Zone: "b"})}, nil, 9, "[{small b false 1 []}]"},
-		{"only large machines", []Demand{newDemand(1, model.Job{Types: []string{"large"}})}, nil, 9, "[{large a false 1 []}]"},
-		{"a patient job takes spot machines", []Demand{patient}, nil, 9, "[{small a true 1 []}]"},
-		{"and none if it may not use them", []Demand{nospot}, nil, 9, "[]"},
-		{"a gang whole", []Demand{gang(10)}, nil, 9, "[{large a false 1 [gang]} {small a false 1 [gang]}]"},
-		{"a gang not in part, and others instead", []Demand{gang(40), newDemand(2, model.Job{})}, nil, 2, "[{small a false 1 []}] unmet [gang]"},
-		{"what comes is not for a gang that it isn't enough for", []Demand{gang(40), newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 2, "[] unmet [gang]"},
-		{"no more than the limit", []Demand{newDemand(40, model.Job{})}, nil, 2, "[{large a false 1 []} {large b false 1 []}]"},
+		{"many tasks fill a large machine", []Demand{newDemand(8, model.Job{})}, nil, 9, "[{large a false 1 []}]"},
+		{"a spot machine if the job allows spot", []Demand{newDemand(2, model.Job{Spot: true})}, nil, 9, "[{small a true 1 []}]"},
+		{"expected capacity is used first", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[]"},
+		{"expected capacity of a kind that the job does not allow is not used", []Demand{newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", true, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 9, "[{small a false 1 []}]"},
+		{"tasks spread over zones", []Demand{spread}, nil, 9, "[{small a false 1 []} {small b false 1 []}]"},
+		{"a job for zone b only", []Demand{newDemand(2, model.Job{Zone: "b"})}, nil, 9, "[{small b false 1 []}]"},
+		{"a job for large machines only", []Demand{newDemand(1, model.Job{Types: []string{"large"}})}, nil, 9, "[{large a false 1 []}]"},
+		{"a job that can wait gets spot machines", []Demand{canWait}, nil, 9, "[{small a true 1 []}]"},
+		{"a job that can wait and does not allow spot gets none", []Demand{canWaitWithoutSpot}, nil, 9, "[]"},
+		{"a gang gets machines for all its tasks", []Demand{gang(10)}, nil, 9, "[{large a false 1 [gang]} {small a false 1 [gang]}]"},
+		{"a gang beyond the limit gets none, and another job gets its own", []Demand{gang(40), newDemand(2, model.Job{})}, nil, 2, "[{small a false 1 []}] unmet [gang]"},
+		{"expected capacity too small for a gang goes to another job", []Demand{gang(40), newDemand(2, model.Job{})}, []ExpectedCapacity{{"small", "b", false, sched.Resources{CPUs: 4, MemoryGB: 16}}}, 2, "[] unmet [gang]"},
+		{"no more machines than the limit", []Demand{newDemand(40, model.Job{})}, nil, 2, "[{large a false 1 []} {large b false 1 []}]"},
 	}
 	for _, c := range cases {
-		got, unmet := Plan(c.wants, c.coming, offers(), c.limit)
-		s := fmt.Sprint(got)
+		got, unmet := Plan(c.demands, c.expected, offers(), c.limit)
+		plan := fmt.Sprint(got)
 		if len(unmet) > 0 {
-			s += fmt.Sprint(" unmet ", unmet)
+			plan += fmt.Sprint(" unmet ", unmet)
 		}
-		if s != c.want {
-			t.Errorf("%s: %s, want %s", c.name, s, c.want)
+		if plan != c.want {
+			t.Errorf("%s: got rentals %s, want %s", c.name, plan, c.want)
 		}
 	}
 }
