--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -7,10 +7,12 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestUnwrittenUnresponsiveMark: a leader notes that a machine is silent, and its term ends
-// before that is written; whoever leads next answers the machine. Leading again, it
-// counts the machine's lease from its own election and not from its old note: it once
-// took such machines for lost, and what they had ran twice.
+// TestUnwrittenUnresponsiveMark checks which unresponsive marks a leader uses that is
+// elected again. A leader marks a machine as unresponsive, and its term ends before the mark
+// is written; the next leader answers the machine. Elected again, the first leader must
+// count the machine's lease from its own election, not from its unwritten mark. Otherwise
+// it takes the machine for lost and starts its tasks a second time. A mark read from the
+// state service does count.
 func TestUnwrittenUnresponsiveMark(t *testing.T) {
 	s := newSingleController()
 	s.cfg.MaxClockSkew = time.Second
@@ -23,52 +25,52 @@
 	m.reconciled, m.lastReplyAt = true, 15*time.Second
 	s.maintainRegistry()
 	if m.unresponsiveSince == 0 || m.storedUnresponsiveSince == 0 {
-		t.Fatal("a machine not answered for 5 s isn't noted as silent")
+		t.Fatal("got no unresponsive mark for a machine that was not answered for 5 s")
 	}
-	s.stepDown("the state service is out of reach")
+	s.stepDown("the state service is unreachable")
 
 	s.now = 60 * time.Second
 	s.wallMs, s.wallReadAt = 1_040_000, s.now
 	s.leadership, s.caughtUp, s.electedAt = newLeadership(s), true, s.now
 	s.takeOver()
 	if m.lastReplyAt != s.electedAt {
-		t.Errorf("elected at %v, the machine counts as last answered at %v by a note that was never written", s.electedAt, m.lastReplyAt)
+		t.Errorf("with a mark that was never written: got last reply at %v, want %v, the election", m.lastReplyAt, s.electedAt)
 	}
 
 	s.apply(Item{Key: prefixPages + "1", Value: mustMarshal(map[string]machineRecord{"n-1": {Endpoint: "e", Type: "small", Zone: "a", UnresponsiveSinceMs: 1_035_000}}), ModRevision: 8})
-	s.stepDown("over")
+	s.stepDown("the term has ended")
 	s.leadership, s.caughtUp, s.electedAt = newLeadership(s), true, s.now
 	s.takeOver()
 	if want := s.now - 5*time.Second; m.lastReplyAt < want || m.lastReplyAt > want+2*s.cfg.MaxClockSkew {
-		t.Errorf("the machine counts as last answered at %v, want %v as the roster says, and the bound on the time of day", m.lastReplyAt, want)
+		t.Errorf("with a mark in the registry: got last reply at %v, want %v or up to twice the clock skew later", m.lastReplyAt, want)
 	}
 }
 
-// TestRegistryPageReadScansItsPageOnly: a page of the roster that is read anew strikes those
-// off that were on it before, without a look at the rest of the fleet.
+// TestRegistryPageReadScansItsPageOnly checks that a registry page that is read again
+// unregisters the machines that it no longer lists, without a scan of all machines.
 func TestRegistryPageReadScansItsPageOnly(t *testing.T) {
 	s := newSingleController()
-	listed := func(hosts ...string) []byte {
+	pageOf := func(hosts ...string) []byte {
 		page := map[string]machineRecord{}
 		for _, h := range hosts {
 			page[h] = machineRecord{Endpoint: "e", Type: "small", Zone: "a"}
 		}
 		return mustMarshal(page)
 	}
-	s.apply(Item{Key: prefixPages + "1", Value: listed("n-1", "n-2"), ModRevision: 5})
-	s.apply(Item{Key: prefixPages + "2", Value: listed("n-3"), ModRevision: 6})
-	// Nothing but a look at all machines would find this one.
-	elsewhere := s.ensureMachine("n-4")
-	elsewhere.registered, elsewhere.storedPage = true, 1
-	s.apply(Item{Key: prefixPages + "1", Value: listed("n-2"), ModRevision: 7})
+	s.apply(Item{Key: prefixPages + "1", Value: pageOf("n-1", "n-2"), ModRevision: 5})
+	s.apply(Item{Key: prefixPages + "2", Value: pageOf("n-3"), ModRevision: 6})
+	// Only a scan of all machines would find this one and unregister it.
+	unlisted := s.ensureMachine("n-4")
+	unlisted.registered, unlisted.storedPage = true, 1
+	s.apply(Item{Key: prefixPages + "1", Value: pageOf("n-2"), ModRevision: 7})
 	if s.machines["n-1"] != nil || s.machines["n-2"] == nil || s.machines["n-3"] == nil {
-		t.Errorf("machines known after n-1 was struck off its page: %v", sortedKeys(s.machines))
+		t.Errorf("after n-1 was removed from its page: got machines %v, want n-2, n-3 and n-4", sortedKeys(s.machines))
 	}
-	if !elsewhere.registered {
-		t.Error("the whole fleet was looked at for one page")
+	if !unlisted.registered {
+		t.Error("all machines were scanned for one page")
 	}
 	s.apply(Item{Key: prefixPages + "1", ModRevision: 8, Removed: true})
 	if s.machines["n-2"] != nil || s.machines["n-3"] == nil {
-		t.Errorf("machines known after the page was removed: %v", sortedKeys(s.machines))
+		t.Errorf("after page 1 was removed: got machines %v, want n-3 but not n-2", sortedKeys(s.machines))
 	}
 }
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -10,16 +10,16 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestAnswersCarryStops: an answer that renews a worker's lease carries the order to
-// stop each task that the report shows of a job known to be cancelled, whichever way
-// the report takes. Renewed without it late enough, the lease outlives cancel_s.
+// TestAnswersCarryStops checks that each answer that renews a worker's lease carries a stop
+// for each reported task of a job known to be cancelled, on every path that a report can
+// take. A late renewal without the stop would let the task run for longer than cancel_s.
 func TestAnswersCarryStops(t *testing.T) {
 	const host, cancelled = "n-1", "req-000001/0"
 	for _, c := range []struct {
 		name string
-		// report is what the worker says, in session 1.
+		// report returns a report of session 1.
 		report func(s *State, m *machine) *model.Report
-		hidden bool // the report doesn't show the task
+		hidden bool // the report does not list the cancelled task
 	}{
 		{"the machine has shown this term's epoch", func(s *State, m *machine) *model.Report {
 			return &model.Report{Seq: 6, Epoch: s.epochBase()}
@@ -32,11 +32,11 @@
 			m.reconciled = false
 			return &model.Report{Seq: 6, Epoch: 1}
 		}, false},
-		{"a command's answer has overtaken the report", func(s *State, m *machine) *model.Report {
+		{"the answer to a command came before the report", func(s *State, m *machine) *model.Report {
 			m.seq = 7
 			return &model.Report{Seq: 6, Epoch: s.epochBase()}
 		}, false},
-		{"there is more to order than fits", func(s *State, m *machine) *model.Report {
+		{"there are more orders than fit in an answer", func(s *State, m *machine) *model.Report {
 			r := &model.Report{Seq: 6, Epoch: s.epochBase()}
 			for i := range maxOrders {
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: fmt.Sprintf("req-000000/%d", i), Attempt: 3, State: model.TaskExited, Cause: model.CauseStopped})
@@ -56,11 +56,11 @@
 			if !c.hidden {
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: cancelled, Attempt: 9, State: model.TaskRunning})
 			}
-			started := s.epoch(m)
-			s.dispatchNeeded, s.effects = true, nil // so that a new report is answered after a round
+			startEpoch := s.epoch(m)
+			s.dispatchNeeded, s.effects = true, nil // a new report is then answered after a dispatch round
 			s.handleReport(WorkerReport{RequestID: 1, Report: *r})
 			for _, task := range m.tasks {
-				s.stopTask(task, 0) // only now is the cancellation learnt
+				s.stopTask(task, 0) // the leader learns of the cancellation only now
 			}
 			s.answerReports()
 			renewed := false
@@ -72,46 +72,46 @@
 				renewed = true
 				orders := reply.Body.(ReportReply).Orders
 				if !containsImmediateStop(orders, cancelled, 9) {
-					t.Errorf("the lease is renewed by %d orders without a stop of %s", len(orders), cancelled)
+					t.Errorf("got %d orders in the answer without a stop of %s", len(orders), cancelled)
 				}
-				if epoch := reply.Body.(ReportReply).Epoch; c.hidden && epoch <= started {
-					t.Errorf("a start under epoch %d may still come after the answer under epoch %d", started, epoch)
+				if epoch := reply.Body.(ReportReply).Epoch; c.hidden && epoch <= startEpoch {
+					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher one", startEpoch, epoch)
 				}
 				if len(orders) > maxOrders {
-					t.Errorf("%d orders, more than fit", len(orders))
+					t.Errorf("got %d orders, more than maxOrders", len(orders))
 				}
 			}
 			if !renewed {
-				t.Errorf("not answered 200: %v", s.effects)
+				t.Errorf("got no answer with status 200: %v", s.effects)
 			}
 		})
 	}
 }
 
-// TestCancelBound adds up the worst case for all settings: a leader without news acts
-// until its view is too old, the last lease that it renewed runs on, and clocks drift
-// against one another. It stays within cancel_s wherever that is at least six fifths of
-// the lease.
+// TestCancelBound adds up the worst case for many settings: a leader that does not learn of
+// a cancellation acts until its view is too old, then the last lease that it renewed runs to
+// its end, and both clocks are slow. The sum must be within cancel_s wherever cancel_s is at
+// least six fifths of the lease.
 func TestCancelBound(t *testing.T) {
-	const slow = 1 - ClockDrift // the slowest clock
+	const slowestClock = 1 - ClockDrift // rate of the slowest clock
 	for lease := 4.0; lease <= 120; lease += 0.5 {
-		for times := 1.2; times <= 6; times += 0.05 {
-			cfg := Config{Lease: time.Duration(lease * float64(time.Second)), CancelWithin: time.Duration(lease * times * float64(time.Second)), Peers: []string{"a", "b"}}
+		for factor := 1.2; factor <= 6; factor += 0.05 {
+			cfg := Config{Lease: time.Duration(lease * float64(time.Second)), CancelWithin: time.Duration(lease * factor * float64(time.Second)), Peers: []string{"a", "b"}}
 			s := New(cfg, 0)
 			leadership := election.NewLeadership(s.electionConfig, 0, 1, 0)
 			leadership.RecordRead(0) // the cancellation is confirmed right after this
-			acts := float64(leadership.ViewValidUntil()) / slow
-			runs := float64(cfg.Lease) / slow
-			if gone := time.Duration(acts + runs); gone > cfg.CancelWithin {
-				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v", cfg.Lease, cfg.CancelWithin, gone)
-			} else if bound := cfg.CancelBound(); gone > bound {
-				t.Fatalf("lease %v, cancel_s %v: tasks may be there for %v, the bound is %v", cfg.Lease, cfg.CancelWithin, gone, bound)
+			actsFor := float64(leadership.ViewValidUntil()) / slowestClock
+			leaseRunsFor := float64(cfg.Lease) / slowestClock
+			if goneAfter := time.Duration(actsFor + leaseRunsFor); goneAfter > cfg.CancelWithin {
+				t.Fatalf("lease %v, cancel_s %v: tasks may exist for %v, want cancel_s at most", cfg.Lease, cfg.CancelWithin, goneAfter)
+			} else if bound := cfg.CancelBound(); goneAfter > bound {
+				t.Fatalf("lease %v, cancel_s %v: tasks may exist for %v, want CancelBound at most, %v", cfg.Lease, cfg.CancelWithin, goneAfter, bound)
 			}
 		}
 	}
 }
 
-// containsImmediateStop says whether orders stop an attempt of a task at once.
+// containsImmediateStop says whether orders stop an attempt of a task without grace.
 func containsImmediateStop(orders []model.Order, task string, attempt uint64) bool {
 	for _, o := range orders {
 		if o.Verb == model.OrderKill && o.Task == task && o.Attempt == attempt && o.GraceS != nil && *o.GraceS == 0 {
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -10,8 +10,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// newLeader is a state that leads alone in term 4, with a job and a machine that
-// has shown the term's epoch.
+// newLeader returns a controller without peers that leads in term 4, with a job of three
+// tasks and a machine that has shown the term's epoch.
 func newLeader(t *testing.T) (*State, *job, *machine) {
 	t.Helper()
 	s := newSingleController()
@@ -24,10 +24,10 @@
 	return s, s.jobs["req-000001"], m
 }
 
-// TestSafeguardsOneByOne: these guards stand one behind the other, so that no
-// day with one of them taken away breaks a rule. Each is asked for by itself.
+// TestSafeguardsOneByOne checks each of several safeguards alone. They protect against the
+// same faults, so that no simulated scenario fails if just one of them is missing.
 func TestSafeguardsOneByOne(t *testing.T) {
-	t.Run("nobody acts before it has caught up with its election", func(t *testing.T) {
+	t.Run("a controller does not lead before it has caught up with its election", func(t *testing.T) {
 		s, _, _ := newLeader(t)
 		s.caughtUp, s.revision, s.electedRevision = false, 7, 9
 		s.catchUp()
@@ -36,89 +36,89 @@
 			want bool
 		}{{8, false}, {9, true}} {
 			if s.IsLeader() {
-				t.Fatal("it leads before it has read what was there at its election")
+				t.Fatal("it leads before it has read the state as of its election")
 			}
 			s.nextReadAt = 0
 			s.sendLinearizableRead()
 			c, ok := findStoreCall(s.effects, StoreWatch)
 			if !ok {
-				t.Fatal("nothing is read")
+				t.Fatal("got no read of the state service")
 			}
 			s.effects = nil
 			s.completeCall(c.CallID, StoreResult{CallID: c.CallID, Status: 200, Revision: read.rev})
 			if s.IsLeader() != read.want {
-				t.Errorf("read up to %d, elected at 9: leads: %v", read.rev, s.IsLeader())
+				t.Errorf("read up to revision %d, elected at 9: got IsLeader %v, want the opposite", read.rev, s.IsLeader())
 			}
 		}
 	})
 	t.Run("an answered command renews no lease", func(t *testing.T) {
 		s, _, m := newLeader(t)
 		m.lastReplyAt, s.now = time.Second, 5*time.Second
-		end := s.leaseEndsAt(m)
+		endsAt := s.leaseEndsAt(m)
 		s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase()}, false)
-		if got := s.leaseEndsAt(m); got != end {
-			t.Errorf("the lease ends at %v, then %v", end, got)
+		if got := s.leaseEndsAt(m); got != endsAt {
+			t.Errorf("after the command: got a lease until %v, want %v as before", got, endsAt)
 		}
 	})
-	t.Run("nothing listed before the term's epoch is relied on", func(t *testing.T) {
+	t.Run("a report without the term's epoch counts for completed tasks only", func(t *testing.T) {
 		s, j, m := newLeader(t)
 		m.reconciled = false
 		s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() - 1,
 			Tasks: []model.TaskReport{{Task: "req-000001/0", Attempt: 3, State: model.TaskRunning}, {Task: "req-000001/1", Attempt: 3, State: model.TaskExited, Cause: model.CauseDone}}}, true)
 		if len(j.tasks) != 0 || m.reconciled {
-			t.Errorf("%d tasks taken from a report that may be from before the term", len(j.tasks))
+			t.Errorf("got %d tasks from a report that may be from before the term, want 0 and the machine not reconciled", len(j.tasks))
 		}
 		if !j.isDone(1) {
-			t.Error("what has completed stays so, however old the report")
+			t.Error("the completed task in an old report is not marked done")
 		}
 	})
-	t.Run("a task isn't gone before the fence", func(t *testing.T) {
+	t.Run("an unlisted task is unbound only under an epoch above that of its unanswered start", func(t *testing.T) {
 		for _, c := range []struct {
 			shown uint64 // above the epoch of the command without an answer
 			gone  bool
 		}{{0, false}, {1, true}} {
 			s, j, m := newLeader(t)
-			x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true, unconfirmedStartEpoch: s.epochBase() | 1}
-			s.bind(x)
-			s.stopTask(x, 0)
+			placed := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true, unconfirmedStartEpoch: s.epochBase() | 1}
+			s.bind(placed)
+			s.stopTask(placed, 0)
 			s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() | 1 + c.shown}, true)
 			if gone := j.tasks[0] == nil; gone != c.gone {
-				t.Errorf("epoch %d above the command's: counted as gone: %v", c.shown, gone)
+				t.Errorf("epoch %d above the command's: got unbound %v, want the opposite", c.shown, gone)
 			}
 		}
 	})
-	t.Run("a leader's writes name its term", func(t *testing.T) {
+	t.Run("a leader's writes have its term as a precondition", func(t *testing.T) {
 		s, _, _ := newLeader(t)
 		s.transact([]*write{{change: Change{Key: prefixPages + "1", Value: mustMarshal(1)}, leaderTerm: 4, done: func(outcome) {}}}, true)
 		c, _ := findStoreCall(s.effects, StoreTxn)
 		if !slices.Contains(c.Preconditions, Precondition{keyTerm, s.termModRevision}) {
-			t.Errorf("guards %v", c.Preconditions)
+			t.Errorf("got preconditions %v, want the key of the term among them", c.Preconditions)
 		}
 	})
 	t.Run("a result is forgotten only once it is durable", func(t *testing.T) {
 		s, j, m := newLeader(t)
 		r := &model.Report{Host: "n-1", Session: 1, Seq: 11, Tasks: []model.TaskReport{{Task: "req-000001/0", Attempt: 3, State: model.TaskExited, Cause: model.CauseDone}}}
 		s.markTaskDone(j, 0)
-		if o := s.ordersFor(m, r); len(o) != 0 {
-			t.Errorf("%v before it is written", o)
+		if orders := s.ordersFor(m, r); len(orders) != 0 {
+			t.Errorf("before the result is written: got orders %v, want none", orders)
 		}
 		j.chunk(0).durableBits[0] |= 1
-		if o := s.ordersFor(m, r); len(o) != 1 || o[0].Verb != model.OrderForget {
-			t.Errorf("%v once it is written", o)
+		if orders := s.ordersFor(m, r); len(orders) != 1 || orders[0].Verb != model.OrderForget {
+			t.Errorf("once the result is written: got orders %v, want one to forget the task", orders)
 		}
 	})
-	t.Run("an answer carries the end of the entitlement", func(t *testing.T) {
+	t.Run("an answer must be sent before the right to act as leader expires", func(t *testing.T) {
 		s, _, m := newLeader(t)
 		s.effects = nil
 		s.answerReport(pendingReport{requestID: 1, machine: m, report: &model.Report{Host: "n-1", Session: 1, Seq: 11}})
 		if r, ok := s.effects[0].(Reply); !ok || r.Status != 200 || r.SendBefore != s.leadership.ValidUntil() {
-			t.Errorf("%+v, entitled until %v", s.effects, s.leadership.ValidUntil())
+			t.Errorf("got %+v, want an answer with status 200 to send before %v", s.effects, s.leadership.ValidUntil())
 		}
 	})
-	t.Run("a lease that has surely run out frees what ran under it", func(t *testing.T) {
+	t.Run("tasks are unbound once the lease has certainly expired", func(t *testing.T) {
 		s, j, m := newLeader(t)
-		x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
-		s.bind(x)
+		placed := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
+		s.bind(placed)
 		m.lastReplyAt = time.Second
 		for _, c := range []struct {
 			at    time.Duration
@@ -127,57 +127,57 @@
 			s.now = c.at
 			s.expireLeases()
 			if bound := j.tasks[0] != nil; bound != c.bound {
-				t.Errorf("at %v, the lease ends at %v: bound: %v", c.at, s.leaseEndsAt(m), bound)
+				t.Errorf("at %v, lease until %v: got bound %v, want the opposite", c.at, s.leaseEndsAt(m), bound)
 			}
 		}
 	})
-	t.Run("an entitlement that has run out is over", func(t *testing.T) {
+	t.Run("a leader stops leading when its right to act expires", func(t *testing.T) {
 		s, _, _ := newLeader(t)
 		s.now = s.leadership.ValidUntil()
 		if s.IsLeader() {
-			t.Error("it leads on")
+			t.Error("got IsLeader true at the end of the right to act, want false")
 		}
 	})
 }
 
-// TestUnknownStatesAndCauses: a state or reason that nobody knows, of a machine whose type
-// nobody knows, ends no process; it neither unbinds a task
-// nor keeps it for ever: the machine is asked to forget what has exited, and the
-// task waits again once the machine no longer shows it.
+// TestUnknownStatesAndCauses checks that a task report with an unknown state or cause, from
+// a machine of an unknown type, does not crash the controller. Such a report must not unbind
+// the task, nor keep it bound for ever: the machine is told to forget the exited task, and
+// the task is requeued once the machine no longer lists it.
 func TestUnknownStatesAndCauses(t *testing.T) {
 	s, j, m := newLeader(t)
-	x := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
-	s.bind(x)
+	bound := &task{job: j, index: 0, name: "req-000001/0", attempt: 9, machine: m, session: 1, startSent: true}
+	s.bind(bound)
 	seq := uint64(10)
-	report := func(tasks ...model.TaskReport) []model.Order {
+	apply := func(tasks ...model.TaskReport) []model.Order {
 		seq++
 		r := &model.Report{Host: "n-1", Session: 1, Seq: seq, Epoch: s.epochBase(), Tasks: tasks}
 		s.applyReport(m, r, true)
 		return s.ordersFor(m, r)
 	}
 	for _, r := range []model.TaskReport{
-		{Task: x.name, Attempt: 9, State: "pondering"},
-		{Task: x.name, Attempt: 9, State: model.TaskRunning, Cause: "whim"},
-		{Task: x.name, Attempt: 9},
+		{Task: bound.name, Attempt: 9, State: "unknown_state"},
+		{Task: bound.name, Attempt: 9, State: model.TaskRunning, Cause: "unknown_cause"},
+		{Task: bound.name, Attempt: 9},
 	} {
-		if orders := report(r); j.tasks[0] != x || len(orders) != 0 {
-			t.Errorf("%+v: bound: %v, orders %v", r, j.tasks[0] == x, orders)
+		if orders := apply(r); j.tasks[0] != bound || len(orders) != 0 {
+			t.Errorf("%+v: got bound %v and orders %v, want true and no orders", r, j.tasks[0] == bound, orders)
 		}
 	}
-	orders := report(model.TaskReport{Task: x.name, Attempt: 9, State: model.TaskExited, Cause: "whim"})
-	if j.tasks[0] != x {
-		t.Error("unbound by a reason that nobody knows")
+	orders := apply(model.TaskReport{Task: bound.name, Attempt: 9, State: model.TaskExited, Cause: "unknown_cause"})
+	if j.tasks[0] != bound {
+		t.Error("the task was unbound by an unknown cause")
 	}
 	if len(orders) != 1 || orders[0].Verb != model.OrderForget {
-		t.Errorf("orders %v, want to forget it", orders)
+		t.Errorf("got orders %v, want one to forget the task", orders)
 	}
-	if report(); j.tasks[0] != nil || j.waitingTasks() != 3 {
-		t.Errorf("no longer shown: bound: %v, %d tasks wait", j.tasks[0] != nil, j.waitingTasks())
+	if apply(); j.tasks[0] != nil || j.waitingTasks() != 3 {
+		t.Errorf("once the task is no longer listed: got bound %v and %d waiting tasks, want false and 3", j.tasks[0] != nil, j.waitingTasks())
 	}
 }
 
-// TestGangSafeguards: what keeps gangs whole, each guard by itself where another
-// stands behind it on the simulated days.
+// TestGangSafeguards checks each of the safeguards alone that make a gang run and stop as a
+// whole. In the simulated scenarios, one covers for another that is missing.
 func TestGangSafeguards(t *testing.T) {
 	gathering := func(t *testing.T) (*State, *job, *machine) {
 		s, _, m := newLeader(t)
@@ -191,92 +191,92 @@
 		return s, j, m
 	}
 	t.Run("a task that is lost while others run is not replaced", func(t *testing.T) {
-		for _, began := range []bool{false, true} {
+		for _, started := range []bool{false, true} {
 			s, j, _ := gathering(t)
-			j.gang.started = began
-			if ready := s.isGangSchedulable(j); ready == began {
-				t.Errorf("began: %v, a third task may be placed: %v", began, ready)
+			j.gang.started = started
+			if schedulable := s.isGangSchedulable(j); schedulable == started {
+				t.Errorf("gang started: %v: got schedulable %v, want the opposite", started, schedulable)
 			}
 		}
 	})
-	t.Run("a gang that has begun and misses a task is ended", func(t *testing.T) {
-		for _, began := range []bool{false, true} {
+	t.Run("a started gang with a missing task is stopped", func(t *testing.T) {
+		for _, started := range []bool{false, true} {
 			s, j, _ := gathering(t)
-			j.gang.started = began
+			j.gang.started = started
 			s.abortIncompleteGangs()
-			if j.gang.aborting != began || j.tasks[0].stopping != began {
-				t.Errorf("began: %v, ended: %v", began, j.gang.aborting)
+			if j.gang.aborting != started || j.tasks[0].stopping != started {
+				t.Errorf("gang started: %v: got aborting %v, want aborting and its tasks stopped if started, else neither", started, j.gang.aborting)
 			}
 		}
 	})
-	t.Run("a task that shows up while its gang is being ended is stopped", func(t *testing.T) {
+	t.Run("a task that is reported while its gang is being stopped is stopped too", func(t *testing.T) {
 		s, j, m := gathering(t)
 		s.abortGang(j, 0)
 		s.applyTaskReport(m, model.TaskReport{Task: model.TaskName(j.ID, 2), Attempt: 7, State: model.TaskGathering}, &model.Report{Session: 1})
-		if x := j.tasks[2]; x == nil || !x.stopping {
-			t.Errorf("the third task is adopted and goes on: %+v", x)
+		if placed := j.tasks[2]; placed == nil || !placed.stopping {
+			t.Errorf("got the third task %+v, want it bound and stopping", placed)
 		}
 	})
-	t.Run("a gang on a machine that is drained stops as a whole, with the time to save", func(t *testing.T) {
+	t.Run("a gang with a task on a slow machine is stopped as a whole, with time to save", func(t *testing.T) {
 		s, j, m := gathering(t)
 		other := s.ensureMachine("n-2")
 		j.CheckpointEveryS, j.CheckpointCostS, j.gang.started = 20, 4, true
 		s.bind(&task{job: j, index: 2, name: model.TaskName(j.ID, 2), attempt: 7, machine: other, session: 1, startSent: true, state: model.TaskRunning})
 		m.slowRuns = slowSamples
 		s.findSlowMachines()
-		for i, x := range j.tasks {
-			if !x.stopping || x.graceS < j.CheckpointCostS {
-				t.Errorf("task %d: stopped: %v, %v s to save", i, x.stopping, x.graceS)
+		for i, placed := range j.tasks {
+			if !placed.stopping || placed.graceS < j.CheckpointCostS {
+				t.Errorf("task %d: got stopping %v with a grace of %v s, want true and at least the checkpoint cost", i, placed.stopping, placed.graceS)
 			}
 		}
 	})
-	t.Run("room that is being made for a gang is not made twice", func(t *testing.T) {
+	t.Run("capacity that is being freed for a gang is not freed twice", func(t *testing.T) {
 		s, _, _ := newLeader(t)
 		s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1}
 		s.typeList = []model.MachineType{*s.types["small"]}
-		low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8, CPUs: 1}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
-		g := &job{Job: model.Job{ID: "req-000004", Team: "t", Kind: model.KindGang, Tasks: 2, CPUs: 2}, rank: model.PriorityRank(model.PriorityHigh), tasks: map[int]*task{}, tasksByZone: map[string]int{}}
-		g.queueEntry = &sched.Job{ID: g.ID, Waiting: 2, Need: g.need(), IsGang: true, Ref: g}
+		lowJob := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8, CPUs: 1}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
+		waitingGang := &job{Job: model.Job{ID: "req-000004", Team: "t", Kind: model.KindGang, Tasks: 2, CPUs: 2}, rank: model.PriorityRank(model.PriorityHigh), tasks: map[int]*task{}, tasksByZone: map[string]int{}}
+		waitingGang.queueEntry = &sched.Job{ID: waitingGang.ID, Waiting: 2, Need: waitingGang.need(), IsGang: true, Ref: waitingGang}
 		env := &roundEnv{s: s, elapsed: func() time.Duration { return 0 }}
 		for i, host := range []string{"n-1", "n-2"} {
 			m := s.ensureMachine(host)
 			s.describeMachine(m, "e", "small", "a", false)
 			m.session, m.reconciled, m.registered, m.hasReported = 1, true, true, true
 			for k := range 4 {
-				s.bind(&task{job: low, index: 4*i + k, name: model.TaskName(low.ID, 4*i+k), attempt: 5, machine: m, session: 1, startSent: true, state: model.TaskRunning})
+				s.bind(&task{job: lowJob, index: 4*i + k, name: model.TaskName(lowJob.ID, 4*i+k), attempt: 5, machine: m, session: 1, startSent: true, state: model.TaskRunning})
 			}
 			s.refreshView(m)
 			env.views = append(env.views, &m.view)
 		}
-		stopped := func() (n int) {
-			for _, x := range low.tasks {
-				if x.stopping {
-					n++
+		stopped := func() (count int) {
+			for _, placed := range lowJob.tasks {
+				if placed.stopping {
+					count++
 				}
 			}
-			return n
+			return count
 		}
-		s.preemptForGang(g, env, s.usageWithoutStopping())
-		if n := stopped(); n != 4 {
-			t.Fatalf("%d tasks stopped, want 4", n)
+		s.preemptForGang(waitingGang, env, s.usageWithoutStopping())
+		if count := stopped(); count != 4 {
+			t.Fatalf("got %d tasks stopped, want 4", count)
 		}
-		s.now += s.cfg.ReportInterval // some have ended, and their room is kept
+		s.now += s.cfg.ReportInterval // some tasks have ended, and their capacity is reserved
 		for _, m := range s.machinesByName {
 			m.viewStale = true
 			s.refreshView(m)
 		}
-		g.queueEntry.Waiting = 2
-		for _, m := range s.machinesByName { // as if others had come in between
+		waitingGang.queueEntry.Waiting = 2
+		for _, m := range s.machinesByName { // as if new tasks had replaced the stopped ones
 			if m.reservedFor == nil {
 				continue
 			}
-			for _, x := range m.tasks {
-				x.stopping = false
+			for _, placed := range m.tasks {
+				placed.stopping = false
 			}
 		}
-		s.preemptForGang(g, env, s.usageWithoutStopping())
-		if n := stopped(); n != 0 {
-			t.Errorf("%d tasks more are stopped while room is kept", n)
+		s.preemptForGang(waitingGang, env, s.usageWithoutStopping())
+		if count := stopped(); count != 0 {
+			t.Errorf("got %d more tasks stopped while capacity is reserved, want 0", count)
 		}
 	})
 	t.Run("a job's first task in a long time is not stopped for a gang", func(t *testing.T) {
@@ -286,19 +286,19 @@
 		}{{maxFirstStartDelay / 2, false}, {maxFirstStartDelay / 4, true}} {
 			s, _, m := newLeader(t)
 			s.wallMs = int64(time.Hour / time.Millisecond)
-			low := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
-			low.submittedAt = s.wallMs - int64(c.age/time.Millisecond)
-			x := &task{job: low, name: "req-000003/0", machine: m, session: 1}
-			s.bind(x)
-			e := &eviction{s: s, job: &job{Job: model.Job{Kind: model.KindGang, Team: "t"}, rank: model.PriorityRank(model.PriorityHigh)}}
-			if got := e.canStop(x, sched.Resources{}); got != c.want {
-				t.Errorf("a job of %v with one task: may be stopped: %v", c.age, got)
+			lowJob := &job{Job: model.Job{ID: "req-000003", Team: "t", Kind: model.KindBatch, Tasks: 8}, rank: model.PriorityRank(model.PriorityLow), tasks: map[int]*task{}, tasksByZone: map[string]int{}, doneBits: make([]uint64, 1)}
+			lowJob.submittedAt = s.wallMs - int64(c.age/time.Millisecond)
+			placed := &task{job: lowJob, name: "req-000003/0", machine: m, session: 1}
+			s.bind(placed)
+			search := &eviction{s: s, job: &job{Job: model.Job{Kind: model.KindGang, Team: "t"}, rank: model.PriorityRank(model.PriorityHigh)}}
+			if got := search.canStop(placed, sched.Resources{}); got != c.want {
+				t.Errorf("a job of age %v with one task: got canStop %v, want the opposite", c.age, got)
 			}
 		}
 	})
 }
 
-// TestImpossibleJobs: what can never run is refused, and nothing else.
+// TestImpossibleJobs checks that exactly the jobs that can never run are refused.
 func TestImpossibleJobs(t *testing.T) {
 	s := newSingleController()
 	s.cfg.Teams["tight"] = Team{Limit: sched.Resources{CPUs: 8}}
@@ -307,49 +307,50 @@
 		{Name: "large", CPUs: 16, MemoryGB: 64, Zones: []string{"a"}},
 	}
 	gang := model.Job{Team: "t", Kind: model.KindGang, Tasks: 4, CPUs: 2, MemoryGB: 4}
-	with := func(change func(j *model.Job)) model.Job {
+	gangWith := func(change func(j *model.Job)) model.Job {
 		j := gang
 		change(&j)
 		return j
 	}
-	for _, c := range []struct {
+	for _, row := range []struct {
 		name string
 		job  model.Job
 		want bool
 	}{
 		{"a gang", gang, false},
-		{"within the limit", with(func(j *model.Job) { j.Team = "tight" }), false},
-		{"all tasks together beyond the limit", with(func(j *model.Job) { j.Team, j.Tasks = "tight", 5 }), true},
-		{"an array whose tasks go one after the other", with(func(j *model.Job) { j.Team, j.Tasks, j.Kind = "tight", 5, model.KindBatch }), false},
-		{"unknown team", with(func(j *model.Job) { j.Team = "nobody" }), true},
-		{"no machine is so large", with(func(j *model.Job) { j.CPUs = 17 }), true},
-		{"none in that zone", with(func(j *model.Job) { j.CPUs, j.Zone = 8, "b" }), true},
-		{"spread over two zones", with(func(j *model.Job) { j.Spread = true }), false},
-		{"spread, with one zone to be had", with(func(j *model.Job) { j.Spread, j.CPUs = true, 8 }), true},
-		{"spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone = true, true }), true},
-		{"spread in the only zone allowed", with(func(j *model.Job) { j.Spread, j.Zone = true, "a" }), true},
-		{"one task, spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone, j.Tasks = true, true, 1 }), false},
-		{"an array spread in one zone", with(func(j *model.Job) { j.Spread, j.OneZone, j.Kind = true, true, model.KindBatch }), false},
-		{"larger than anything there is now", with(func(j *model.Job) { j.Tasks = 10_000 }), false},
+		{"within the limit", gangWith(func(j *model.Job) { j.Team = "tight" }), false},
+		{"a gang whose tasks together exceed the limit", gangWith(func(j *model.Job) { j.Team, j.Tasks = "tight", 5 }), true},
+		{"a batch job whose tasks can run one after the other", gangWith(func(j *model.Job) { j.Team, j.Tasks, j.Kind = "tight", 5, model.KindBatch }), false},
+		{"unknown team", gangWith(func(j *model.Job) { j.Team = "unknown" }), true},
+		{"larger than any machine type", gangWith(func(j *model.Job) { j.CPUs = 17 }), true},
+		{"no machine type large enough in its zone", gangWith(func(j *model.Job) { j.CPUs, j.Zone = 8, "b" }), true},
+		{"spread over two zones", gangWith(func(j *model.Job) { j.Spread = true }), false},
+		{"spread, with machines that are large enough in one zone only", gangWith(func(j *model.Job) { j.Spread, j.CPUs = true, 8 }), true},
+		{"spread in one zone", gangWith(func(j *model.Job) { j.Spread, j.OneZone = true, true }), true},
+		{"spread in the only zone allowed", gangWith(func(j *model.Job) { j.Spread, j.Zone = true, "a" }), true},
+		{"one task, spread in one zone", gangWith(func(j *model.Job) { j.Spread, j.OneZone, j.Tasks = true, true, 1 }), false},
+		{"a batch job spread in one zone", gangWith(func(j *model.Job) { j.Spread, j.OneZone, j.Kind = true, true, model.KindBatch }), false},
+		{"more tasks than fit on the present machines", gangWith(func(j *model.Job) { j.Tasks = 10_000 }), false},
 	} {
-		if why := s.infeasibleReason(&c.job); (why != "") != c.want {
-			t.Errorf("%s: refused with %q, want to be refused: %v", c.name, why, c.want)
+		if reason := s.infeasibleReason(&row.job); (reason != "") != row.want {
+			t.Errorf("%s: got reason %q, want a reason: %v", row.name, reason, row.want)
 		}
 	}
 }
 
-// TestFinalRefusalsNeedLinearizableRead: a controller whose copy lags behind must not refuse
-// for good what another has accepted: a job of a former version was answered with
-// 400 where the limits had been lowered since.
+// TestFinalRefusalsNeedLinearizableRead checks that a controller whose replica lags does not
+// finally refuse a job that another controller has accepted. Without a linearizable read, a
+// job that a former version had accepted was answered with 400 after the limits had been
+// lowered.
 func TestFinalRefusalsNeedLinearizableRead(t *testing.T) {
-	for _, c := range []struct {
+	for _, row := range []struct {
 		name   string
 		job    model.Job
 		status int
 	}{
-		{"can never run", model.Job{Team: "nobody", Kind: model.KindBatch, Tasks: 1}, 422},
-		{"too long for the limits that are to come", model.Job{Team: "t", Kind: model.KindBatch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
-		{"gangs are not set up", model.Job{Team: "t", Kind: model.KindGang, Tasks: 2}, 400},
+		{"can never run", model.Job{Team: "unknown", Kind: model.KindBatch, Tasks: 1}, 422},
+		{"too long for the lower limits to come", model.Job{Team: "t", Kind: model.KindBatch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
+		{"a gang, while the settings have no gang timeouts", model.Job{Team: "t", Kind: model.KindGang, Tasks: 2}, 400},
 	} {
 		for _, accepted := range []bool{false, true} {
 			s := newSingleController()
@@ -357,31 +358,31 @@
 			s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
 			s.types["small"] = &model.MachineType{Name: "small", CPUs: 4, MemoryGB: 16}
 			s.typeList = []model.MachineType{*s.types["small"]}
-			c.job.ID = "req-000001"
-			out := s.Step(time.Second, Submit{RequestID: 1, Job: c.job})
-			for _, e := range out {
-				if r, ok := e.(Reply); ok {
-					t.Fatalf("%s: answered %d before the state service was read", c.name, r.Status)
+			row.job.ID = "req-000001"
+			effects := s.Step(time.Second, Submit{RequestID: 1, Job: row.job})
+			for _, effect := range effects {
+				if r, ok := effect.(Reply); ok {
+					t.Fatalf("%s: got answer %d before the state service was read, want none", row.name, r.Status)
 				}
 			}
-			call, ok := findStoreCall(out, StoreWatch)
+			call, ok := findStoreCall(effects, StoreWatch)
 			if !ok {
-				t.Fatalf("%s: nothing is read", c.name)
+				t.Fatalf("%s: got no read of the state service", row.name)
 			}
-			d := StoreResult{CallID: call.CallID, Status: 200, Revision: 7}
-			want := c.status
+			result := StoreResult{CallID: call.CallID, Status: 200, Revision: 7}
+			want := row.status
 			if accepted {
-				d.Items = []Item{{Key: prefixJobs + c.job.ID, Value: mustMarshal(jobValue{Spec: &c.job}), ModRevision: 7}}
+				result.Items = []Item{{Key: prefixJobs + row.job.ID, Value: mustMarshal(jobValue{Spec: &row.job}), ModRevision: 7}}
 				want = 200
 			}
 			got := 0
-			for _, e := range s.Step(time.Second, d) {
-				if r, ok := e.(Reply); ok {
+			for _, effect := range s.Step(time.Second, result) {
+				if r, ok := effect.(Reply); ok {
 					got = r.Status
 				}
 			}
 			if got != want {
-				t.Errorf("%s, accepted before: %v: answered %d, want %d", c.name, accepted, got, want)
+				t.Errorf("%s, accepted before: %v: got status %d, want %d", row.name, accepted, got, want)
 			}
 		}
 	}
