--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// setTypes applies a list of machine types. It says whether a type was added or changed
-// in more than its prices, boot time or zones.
+// setTypes applies a list of machine types. It says whether a type was added or removed,
+// or changed in more than its prices, boot time or zones.
 func (s *State) setTypes(types []model.MachineType) bool {
 	changed := len(types) != len(s.typeList)
 	for i := range types {
@@ -110,8 +110,8 @@
 	return changed
 }
 
-// cloudTick lists the cloud's machines, returns those that are not needed, and rents more,
-// each in its own interval.
+// cloudTick lists the cloud's machines when that is due. Once per second it returns the
+// machines that are not needed and, after the takeover, rents those that are missing.
 func (s *State) cloudTick() {
 	if !s.listInFlight && s.now >= s.nextListAt {
 		s.listMachines("")
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -9,8 +9,9 @@
 )
 
 // This file sends direct commands to workers. A command carries an epoch; a worker refuses
-// commands with a lower epoch than the highest that it has seen. Raising the fence, the
-// low bits of the epoch, so fences off commands that may still be on their way.
+// commands with a lower epoch than the highest that it has seen. When the leader raises
+// the fence, which is the low bits of the epoch, earlier commands that are still on their
+// way become invalid as soon as the worker has seen the new epoch.
 
 // commandState is the leader's state about direct commands.
 type commandState struct {
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -101,9 +101,9 @@
 	return false
 }
 
-// wasReclaimed says whether the cloud has reclaimed m, as its notice announced. A
-// return by name makes certain that the machine is gone. Its tasks then need not wait
-// for its lease to expire, nor a new leader for its report.
+// wasReclaimed says whether the cloud has reclaimed m, as its notice announced. Such a
+// machine is returned by name, which makes certain that it is gone: then its tasks need
+// not wait until its lease expires, nor a new leader until it reports.
 func (s *State) wasReclaimed(m *machine) bool {
 	return m.reclaimAt != 0 && s.now >= m.reclaimAt+time.Second && m.lastHeardAt < m.reclaimAt
 }
@@ -122,21 +122,21 @@
 
 // isPresumedLost says whether m, which has not been heard of in this term, is given up
 // although its lease may still run. That is so when it did not answer a command and at
-// most 1/32 of the reachable machines are unaccounted for. Every older job waits until
-// all of them are, so that otherwise a few machines that failed together with the former
-// leader would delay all of these jobs by a lease. Machines in unreachable zones are not
-// counted: with one of three zones cut off, nine machines delayed all older jobs of the
-// other two.
+// most 1/32 of the reachable machines are unaccounted for. Older jobs wait until all
+// machines are accounted for; without this rule, a few machines that failed together with
+// the former leader would delay all of these jobs by a lease. Machines in unreachable
+// zones are not counted: when they were, with one of three zones cut off, nine machines
+// delayed all older jobs of the other two zones.
 func (s *State) isPresumedLost(m *machine) bool {
 	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
 		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
-// isUnresponsive says whether m is given up before its lease expires. That is so when
-// it runs a service of the highest priority, or a task of a gang, whose other tasks wait
-// until this one has ended; when it has been silent for half a lease; and when most
-// machines report, so that the fault is not with this controller. Returning the machine
-// takes less time than waiting for the lease, during which the service would be down.
+// isUnresponsive says whether m is given up before its lease expires. All of these must
+// hold: m has a service of the highest priority, or a task of a gang whose other tasks
+// wait until this one has ended; m has been silent for half a lease; and most machines
+// report, so that this controller is not at fault. Returning the machine takes less time
+// than waiting for its lease, during which the service would be down.
 func (s *State) isUnresponsive(m *machine) bool {
 	maxSilence := s.cfg.Lease / 2
 	if !m.reconciled || s.now-m.lastHeardAt < maxSilence || s.now-s.electedAt < s.cfg.Lease {
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -202,11 +202,11 @@
 // wasRecentlyReturned says whether host was returned so recently that the cloud's list,
 // which lags, or a late report may still show it. Such a machine must not be added again.
 func (s *State) wasRecentlyReturned(host string) bool {
-	at, ok := s.returnedAt[host]
+	returnedAt, ok := s.returnedAt[host]
 	if !ok {
 		return false
 	}
-	if s.now-at > 5*s.cfg.ListLag+32*s.cfg.Lease {
+	if s.now-returnedAt > 5*s.cfg.ListLag+32*s.cfg.Lease {
 		delete(s.returnedAt, host)
 		return false
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -20,7 +20,7 @@
 	viewStale       bool // the view must be recomputed from the tasks
 	hasUnsentOrders bool // there may be starts or stops that have not been sent
 
-	session, seq uint64
+	session, seq uint64 // of the last report that was applied
 	highestEpoch uint64 // highest epoch that its reports have shown
 	minEpoch     uint64 // a report with a lower epoch is stale
 	fence        uint64 // low bits of the current epoch
@@ -46,7 +46,7 @@
 	// returnUnconfirmed says that a return had no answer, so that the machine may
 	// disappear at any moment.
 	returnUnconfirmed bool
-	returnLogged      bool
+	returnLogged      bool          // the log says that it is being returned
 	failed            bool          // the cloud reports that it has failed
 	lastHeardAt       time.Duration // last report of any kind
 	lastReplyAt       time.Duration // receipt of the last report that was answered with 200
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -78,7 +78,7 @@
 }
 
 // sendRental sends a rental request, and repeats it up to three times if it has no answer.
-func (s *State) sendRental(request string, rental fleet.Rental, try int) {
+func (s *State) sendRental(request string, rental fleet.Rental, retries int) {
 	leadership := s.leadership
 	key := offerKey{rental.Type, rental.Zone, rental.Spot}
 	sent := s.callCloud(CloudCall{Op: CloudRent, Request: request, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Count: min(rental.Count, 50)}, func(result CloudResult) {
@@ -105,8 +105,8 @@
 			}
 		case 0:
 			s.rentalUnconfirmed = true
-			if try < 3 {
-				s.sendRental(request, rental, try+1)
+			if retries < 3 {
+				s.sendRental(request, rental, retries+1)
 			}
 		default:
 			s.recordRefusal(key)
@@ -126,8 +126,8 @@
 	}
 }
 
-// recordRefusal records that the cloud did not have all machines of an offer, and so
-// excludes the offer for half a lease, and for a whole lease after repeated refusals.
+// recordRefusal records that the cloud did not rent all machines requested of an offer. The
+// offer is not requested again for half a lease, after repeated refusals for a lease.
 func (s *State) recordRefusal(key offerKey) {
 	r := s.refusedOffers[key]
 	if r == nil {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// refuseWorker answers a worker with 503, upon which it tries the next controller.
+// refuseWorker answers a worker with 503. The worker then tries the next controller.
 func (s *State) refuseWorker(requestID uint64, reason string) {
 	s.emit(Reply{RequestID: requestID, Status: 503, Body: Problem{reason}})
 }
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -10,8 +10,10 @@
 
 // This file finds machines that are much slower than their type promises. Their tasks take
 // longer than other tasks of the same job, but they keep getting tasks, because they hold
-// the images. A machine counts as slow if slowSamples of its tasks took slowRatio times as
-// long as the other tasks of their jobs.
+// the images.
+
+// slowRatio and slowSamples define a slow machine: slowSamples of its tasks in a row took
+// at least slowRatio times as long as other tasks of their jobs.
 const (
 	slowRatio   = 2.0
 	slowSamples = 3
