--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -9,319 +9,334 @@
 	"mulleinfall/internal/core"
 )
 
-// Controllers: each runs a core.
-
-// Controller runs a core.
+// Controller simulates one controller process, which runs a core.State.
 type Controller struct {
 	sim                 *Simulation
 	Name                string
 	index               int
-	incarnation         int
-	State               *core.State
-	pendingRequests     map[uint64]func(core.Reply)
-	lastRequest         uint64
+	incarnation         int                         // changes with each start and crash
+	State               *core.State                 // nil while the process is down
+	pendingRequests     map[uint64]func(core.Reply) // by request id
+	lastRequest         uint64                      // id of the last request received
 	StartCount          int
-	paused              *pausedWork // stands still
-	runsPreviousVersion bool        // runs the former version
-	// StepDuration is how long each step takes: what comes meanwhile waits for its turn, and
-	// ticks are dropped. 0: no time passes.
+	paused              *pausedWork // nil unless the process is paused
+	runsPreviousVersion bool
+	// StepDuration is how long each step of the core takes. Events that arrive during
+	// a step wait for their turn, and ticks are dropped. With 0, steps take no time.
 	StepDuration    time.Duration
-	busyUntil       time.Duration // when the steps that wait have been made
-	clockDrift      float64       // of the steady clock
-	wallClockOffset float64       // of the time of day, in parts of its bound
+	busyUntil       time.Duration // when all queued steps are complete
+	clockDrift      float64       // relative error of the monotonic clock
+	wallClockOffset float64       // error of the wall clock, as a fraction of MaxClockSkew
 }
 
-// IsRunning says whether the process runs.
-func (n *Controller) IsRunning() bool { return n.State != nil }
+// IsRunning reports whether the process runs.
+func (c *Controller) IsRunning() bool { return c.State != nil }
 
-func (n *Controller) monotonicNow() time.Duration {
-	return time.Duration(float64(n.sim.Now) * (1 + n.clockDrift))
+// monotonicNow returns the time on the controller's monotonic clock.
+func (c *Controller) monotonicNow() time.Duration {
+	return time.Duration(float64(c.sim.Now) * (1 + c.clockDrift))
 }
 
-// Start starts the process.
-func (n *Controller) Start() {
-	cfg := n.sim.Options.Config
-	cfg.Self = n.Name
-	cfg.Incarnation = n.sim.Options.Seed*1000 + uint64(n.index*100+n.StartCount)
-	for _, o := range n.sim.Controllers {
-		if o != n {
-			cfg.Peers = append(cfg.Peers, o.Name)
+// Start starts the process with a new core.
+func (c *Controller) Start() {
+	cfg := c.sim.Options.Config
+	cfg.Self = c.Name
+	cfg.Incarnation = c.sim.Options.Seed*1000 + uint64(c.index*100+c.StartCount)
+	for _, peer := range c.sim.Controllers {
+		if peer != c {
+			cfg.Peers = append(cfg.Peers, peer.Name)
 		}
 	}
-	n.runsPreviousVersion = n.sim.OnPreviousVersion[n.Name]
-	if n.runsPreviousVersion {
+	c.runsPreviousVersion = c.sim.OnPreviousVersion[c.Name]
+	if c.runsPreviousVersion {
 		cfg.Version = 0
-		n.sim.Options.ConfigurePreviousVersion(&cfg)
+		c.sim.Options.ConfigurePreviousVersion(&cfg)
 	}
-	n.StartCount++
-	n.incarnation++
-	n.clockDrift = (n.sim.Rand.Float64() - 0.5) * core.ClockDrift
-	n.wallClockOffset = (n.sim.Rand.Float64() - 0.5) * 1.4
-	n.pendingRequests = map[uint64]func(core.Reply){}
-	n.State = core.New(cfg, n.monotonicNow())
-	n.sim.tracef("%s starts", n.Name)
-	n.tick(n.incarnation)
+	c.StartCount++
+	c.incarnation++
+	c.clockDrift = (c.sim.Rand.Float64() - 0.5) * core.ClockDrift
+	c.wallClockOffset = (c.sim.Rand.Float64() - 0.5) * 1.4
+	c.pendingRequests = map[uint64]func(core.Reply){}
+	c.State = core.New(cfg, c.monotonicNow())
+	c.sim.tracef("%s starts", c.Name)
+	c.tick(c.incarnation)
 }
 
-// Crash kills the process; it starts again after the restart delay.
-func (n *Controller) Crash() { n.CrashFor(n.sim.Options.RestartDelay) }
+// Crash kills the process. It starts again after Options.RestartDelay.
+func (c *Controller) Crash() { c.CrashFor(c.sim.Options.RestartDelay) }
 
-// CrashFor kills the process; it starts again after d.
-func (n *Controller) CrashFor(d time.Duration) {
-	if n.State == nil {
+// CrashFor kills the process. It starts again after d.
+func (c *Controller) CrashFor(d time.Duration) {
+	if c.State == nil {
 		return
 	}
-	n.sim.tracef("%s crashes", n.Name)
-	n.State, n.paused = nil, nil
-	n.incarnation++
-	n.sim.After(d, func() {
-		if n.State == nil {
-			n.Start()
+	c.sim.tracef("%s crashes", c.Name)
+	c.State, c.paused = nil, nil
+	c.incarnation++
+	c.sim.After(d, func() {
+		if c.State == nil {
+			c.Start()
 		}
 	})
 }
 
-// pausedWork is what a process that stands still has left undone.
+// pausedWork is the work that a paused process does when it resumes.
 type pausedWork struct {
-	inStep  bool          // the step that it stands still in was made
-	effects []core.Effect // of that step: worked out before, carried out after
-	events  []core.Event
+	inStep  bool          // the core has made the step in which the process is paused
+	effects []core.Effect // effects of that step, applied after the pause
+	events  []core.Event  // events that arrived during the pause
 }
 
-// Pause has the process stand still for d while clocks run on: in the middle
-// of its next step, between the decision and what is done about it.
-func (n *Controller) Pause(d time.Duration) {
-	if n.State == nil || n.paused != nil {
+// Pause pauses the process for d while the clocks run on. The pause takes effect in
+// the next step that has effects: the core makes the step before the pause, and the
+// effects are applied after it.
+func (c *Controller) Pause(d time.Duration) {
+	if c.State == nil || c.paused != nil {
 		return
 	}
-	n.sim.tracef("%s stands still", n.Name)
-	n.paused = &pausedWork{}
-	life := n.incarnation
-	n.sim.After(d, func() {
-		p := n.paused
-		if n.incarnation != life || p == nil {
+	c.sim.tracef("%s is paused", c.Name)
+	c.paused = &pausedWork{}
+	incarnation := c.incarnation
+	c.sim.After(d, func() {
+		p := c.paused
+		if c.incarnation != incarnation || p == nil {
 			return
 		}
-		n.paused = nil
-		n.sim.tracef("%s goes on", n.Name)
+		c.paused = nil
+		c.sim.tracef("%s resumes", c.Name)
 		for _, e := range p.effects {
-			n.applyEffect(e)
+			c.applyEffect(e)
 		}
 		for _, ev := range p.events {
-			n.Step(ev)
+			c.Step(ev)
 		}
 	})
 }
 
-func (n *Controller) tick(life int) {
-	if n.incarnation != life || n.State == nil {
+// tick sends the core a tick every 50 ms until the incarnation ends.
+func (c *Controller) tick(incarnation int) {
+	if c.incarnation != incarnation || c.State == nil {
 		return
 	}
-	// The time of day wanders within its bound.
-	off := (n.wallClockOffset + 0.3*math.Sin(n.sim.Now.Seconds()/17+float64(n.index))) * n.sim.Options.Config.MaxClockSkew.Seconds()
-	n.Step(core.Tick{WallMs: n.sim.Now.Milliseconds() + 1e9 + int64(1000*off)})
-	n.sim.After(50*time.Millisecond, func() { n.tick(life) })
+	// The error of the wall clock varies within MaxClockSkew.
+	offsetS := (c.wallClockOffset + 0.3*math.Sin(c.sim.Now.Seconds()/17+float64(c.index))) * c.sim.Options.Config.MaxClockSkew.Seconds()
+	c.Step(core.Tick{WallMs: c.sim.Now.Milliseconds() + 1e9 + int64(1000*offsetS)})
+	c.sim.After(50*time.Millisecond, func() { c.tick(incarnation) })
 }
 
-// Step feeds the core an event, as soon as it has made the steps before.
-func (n *Controller) Step(ev core.Event) {
-	if n.State == nil {
+// Step passes an event to the core, as soon as the core has made the steps queued
+// before it.
+func (c *Controller) Step(ev core.Event) {
+	if c.State == nil {
 		return
 	}
-	if n.StepDuration == 0 {
-		n.process(ev)
+	if c.StepDuration == 0 {
+		c.process(ev)
 		return
 	}
 	_, tick := ev.(core.Tick)
-	if tick && n.busyUntil > n.sim.Now {
-		return // a ticker drops what isn't taken
+	if tick && c.busyUntil > c.sim.Now {
+		return // a time.Ticker drops ticks that nobody receives
 	}
-	n.busyUntil = max(n.busyUntil, n.sim.Now) + n.StepDuration
-	life := n.incarnation
-	n.sim.At(n.busyUntil, func() {
-		if n.incarnation == life && n.State != nil {
-			n.process(ev)
+	c.busyUntil = max(c.busyUntil, c.sim.Now) + c.StepDuration
+	incarnation := c.incarnation
+	c.sim.At(c.busyUntil, func() {
+		if c.incarnation == incarnation && c.State != nil {
+			c.process(ev)
 		}
 	})
 }
 
-// process feeds the core an event and carries its effects out.
-func (n *Controller) process(ev core.Event) {
-	if p := n.paused; p != nil && p.inStep {
-		if _, tick := ev.(core.Tick); !tick { // a ticker drops what isn't taken
+// process passes an event to the core and applies the resulting effects. In a
+// pause it keeps the event for later.
+func (c *Controller) process(ev core.Event) {
+	if p := c.paused; p != nil && p.inStep {
+		if _, tick := ev.(core.Tick); !tick { // a time.Ticker drops ticks that nobody receives
 			p.events = append(p.events, ev)
 		}
 		return
 	}
-	for _, e := range n.State.Step(n.monotonicNow(), ev) {
-		if n.sim.Options.Tamper != nil {
-			e = n.sim.Options.Tamper(n.sim, n, e)
+	for _, e := range c.State.Step(c.monotonicNow(), ev) {
+		if c.sim.Options.Tamper != nil {
+			e = c.sim.Options.Tamper(c.sim, c, e)
 		}
-		if p := n.paused; p != nil {
+		if p := c.paused; p != nil {
 			p.inStep = true
 			p.effects = append(p.effects, e)
 			continue
 		}
-		n.applyEffect(e)
+		c.applyEffect(e)
 	}
 }
 
-// deliver posts an event to this life of the process.
-func (n *Controller) deliver(ev core.Event) {
-	n.Step(ev)
+// deliver passes the result of a call to the core.
+func (c *Controller) deliver(ev core.Event) {
+	c.Step(ev)
 }
 
-// applyEffect carries an effect of the core out.
-func (n *Controller) applyEffect(e core.Effect) {
+// applyEffect carries out an effect of the core.
+func (c *Controller) applyEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.Reply:
-		if f := n.pendingRequests[e.RequestID]; f != nil {
-			delete(n.pendingRequests, e.RequestID)
+		if f := c.pendingRequests[e.RequestID]; f != nil {
+			delete(c.pendingRequests, e.RequestID)
 			f(e)
 		}
 	case core.StoreCall:
-		n.callStore(e)
+		c.callStore(e)
 	case core.CloudCall:
-		n.callCloud(e)
+		c.callCloud(e)
 	case core.AgentCall:
-		n.callAgent(e)
+		c.callAgent(e)
 	case core.PeerOut:
-		n.sendToPeer(e)
+		c.sendToPeer(e)
 	case core.Log:
-		n.log(e)
+		c.log(e)
 	}
 }
 
-// ifSameIncarnation makes functions that do nothing once this life of the process is over.
-func (n *Controller) ifSameIncarnation() func(f func()) func() {
-	life := n.incarnation
+// ifSameIncarnation returns a wrapper for functions. A wrapped function does nothing
+// if the process has crashed or restarted since ifSameIncarnation was called.
+func (c *Controller) ifSameIncarnation() func(f func()) func() {
+	incarnation := c.incarnation
 	return func(f func()) func() {
 		return func() {
-			if n.incarnation == life && n.State != nil {
+			if c.incarnation == incarnation && c.State != nil {
 				f()
 			}
 		}
 	}
 }
 
-func (n *Controller) callStore(e core.StoreCall) {
-	w, alive := n.sim, n.ifSameIncarnation()
-	w.send(n.Name, "state", func() {
-		w.Store.serve(n.Name, e, func(d core.StoreResult) {
-			w.send("state", n.Name, alive(func() { n.deliver(d) }))
+// callStore sends a call to the state service. After the call's timeout the core gets
+// an empty result, which it ignores if it already has an answer.
+func (c *Controller) callStore(call core.StoreCall) {
+	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	sim.send(c.Name, "state", func() {
+		sim.Store.serve(c.Name, call, func(result core.StoreResult) {
+			sim.send("state", c.Name, ifAlive(func() { c.deliver(result) }))
 		})
-		w.maybeRepeat(func() { w.Store.serve(n.Name, e, func(core.StoreResult) {}) })
+		sim.maybeRepeat(func() { sim.Store.serve(c.Name, call, func(core.StoreResult) {}) })
 	})
-	w.After(e.Timeout, alive(func() { n.deliver(core.StoreResult{CallID: e.CallID}) }))
+	sim.After(call.Timeout, ifAlive(func() { c.deliver(core.StoreResult{CallID: call.CallID}) }))
 }
 
-// cloudTimeout and agentTimeout are for how long a controller waits for an answer.
+// cloudTimeout and agentTimeout are how long a controller waits for an answer of the
+// cloud and of a worker.
 const (
 	cloudTimeout = 5 * time.Second
 	agentTimeout = 1500 * time.Millisecond
 )
 
-func (n *Controller) callCloud(e core.CloudCall) {
-	w, alive := n.sim, n.ifSameIncarnation()
-	w.send(n.Name, "cloud", func() {
-		d := w.Cloud.serve(e)
-		w.maybeRepeat(func() { w.Cloud.serve(e) })
-		w.send("cloud", n.Name, alive(func() { n.deliver(d) }))
+// callCloud sends a call to the cloud, with cloudTimeout as its timeout. See callStore
+// for what happens after the timeout.
+func (c *Controller) callCloud(call core.CloudCall) {
+	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	sim.send(c.Name, "cloud", func() {
+		result := sim.Cloud.serve(call)
+		sim.maybeRepeat(func() { sim.Cloud.serve(call) })
+		sim.send("cloud", c.Name, ifAlive(func() { c.deliver(result) }))
 	})
-	w.After(cloudTimeout, alive(func() { n.deliver(core.CloudResult{CallID: e.CallID}) }))
+	sim.After(cloudTimeout, ifAlive(func() { c.deliver(core.CloudResult{CallID: call.CallID}) }))
 }
 
-func (n *Controller) callAgent(e core.AgentCall) {
-	w, alive := n.sim, n.ifSameIncarnation()
-	if n.monotonicNow() >= e.SendBefore {
-		n.deliver(core.AgentResult{CallID: e.CallID}) // as the edge: checked last
+// callAgent sends a command to a worker, unless the controller's right to send it has
+// expired, with agentTimeout as its timeout. See callStore for what happens after the
+// timeout.
+func (c *Controller) callAgent(call core.AgentCall) {
+	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	if c.monotonicNow() >= call.SendBefore {
+		c.deliver(core.AgentResult{CallID: call.CallID}) // the real network layer also makes this check last
 		return
 	}
-	w.send(n.Name, e.Endpoint, func() {
-		wk := w.Workers[e.Endpoint]
+	sim.send(c.Name, call.Endpoint, func() {
+		wk := sim.Workers[call.Endpoint]
 		if wk == nil {
 			return
 		}
-		if w.LateCommandFraction > 0 && w.Rand.Float64() < w.LateCommandFraction {
-			late := 2*time.Second + time.Duration(w.Rand.Int64N(int64(14*time.Second)))
-			w.After(late, func() { wk.handleCommands(e, func(core.AgentResult) {}) })
+		if sim.LateCommandFraction > 0 && sim.Rand.Float64() < sim.LateCommandFraction {
+			late := 2*time.Second + time.Duration(sim.Rand.Int64N(int64(14*time.Second)))
+			sim.After(late, func() { wk.handleCommands(call, func(core.AgentResult) {}) })
 			return
 		}
-		wk.handleCommands(e, func(d core.AgentResult) {
-			w.send(e.Endpoint, n.Name, alive(func() { n.deliver(d) }))
+		wk.handleCommands(call, func(result core.AgentResult) {
+			sim.send(call.Endpoint, c.Name, ifAlive(func() { c.deliver(result) }))
 		})
-		w.maybeRepeat(func() { wk.handleCommands(e, func(core.AgentResult) {}) })
+		sim.maybeRepeat(func() { wk.handleCommands(call, func(core.AgentResult) {}) })
 	})
-	w.After(agentTimeout, alive(func() { n.deliver(core.AgentResult{CallID: e.CallID}) }))
+	sim.After(agentTimeout, ifAlive(func() { c.deliver(core.AgentResult{CallID: call.CallID}) }))
 }
 
-func (n *Controller) sendToPeer(e core.PeerOut) {
-	for _, o := range n.sim.Controllers {
-		if o.Name == e.To {
-			deliver := func() { o.Step(core.PeerIn{From: n.Name, Msg: e.Msg}) }
-			n.sim.send(n.Name, e.To, deliver)
-			n.sim.maybeRepeat(deliver)
+// sendToPeer sends a message to another controller.
+func (c *Controller) sendToPeer(e core.PeerOut) {
+	for _, peer := range c.sim.Controllers {
+		if peer.Name == e.To {
+			deliver := func() { peer.Step(core.PeerIn{From: c.Name, Msg: e.Msg}) }
+			c.sim.send(c.Name, e.To, deliver)
+			c.sim.maybeRepeat(deliver)
 		}
 	}
 }
 
-func (n *Controller) log(e core.Log) {
-	if !n.sim.TraceEnabled || e.Level < 0 {
+// log adds a log line of the core to the trace, unless it is a debug line.
+func (c *Controller) log(e core.Log) {
+	if !c.sim.TraceEnabled || e.Level < 0 {
 		return
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s", n.Name, e.Text)
+	fmt.Fprintf(&b, "%s: %s", c.Name, e.Text)
 	for i := 0; i+1 < len(e.Args); i += 2 {
 		fmt.Fprintf(&b, " %v=%v", e.Args[i], e.Args[i+1])
 	}
-	n.sim.tracef("%s", b.String())
+	c.sim.tracef("%s", b.String())
 }
 
-// sendRequest sends a request to the node and gives its reply to f.
-func (n *Controller) sendRequest(from string, make_ func(uint64) core.Event, f func(core.Reply)) {
-	w := n.sim
-	w.send(from, n.Name, func() {
-		if n.State == nil {
-			w.send(n.Name, from, func() { f(core.Reply{}) })
+// sendRequest sends a request to the controller and passes the reply to f. The reply
+// is empty if the process is down. newEvent creates the event from the request id.
+func (c *Controller) sendRequest(from string, newEvent func(uint64) core.Event, f func(core.Reply)) {
+	sim := c.sim
+	sim.send(from, c.Name, func() {
+		if c.State == nil {
+			sim.send(c.Name, from, func() { f(core.Reply{}) })
 			return
 		}
-		n.lastRequest++
-		n.pendingRequests[n.lastRequest] = func(r core.Reply) {
-			if r.SendBefore != 0 && n.monotonicNow() >= r.SendBefore {
+		c.lastRequest++
+		c.pendingRequests[c.lastRequest] = func(r core.Reply) {
+			if r.SendBefore != 0 && c.monotonicNow() >= r.SendBefore {
 				r = core.Reply{Status: 503}
 			}
-			w.send(n.Name, from, func() { f(r) })
+			sim.send(c.Name, from, func() { f(r) })
 		}
-		n.Step(make_(n.lastRequest))
+		c.Step(newEvent(c.lastRequest))
 	})
 }
 
-// Leader is the node that may act now, or nil. More than one is a broken
-// election, which the checker notes.
-func (w *Simulation) Leader() *Controller {
+// Leader returns the controller that has the right to act as leader now, or nil. It
+// reports a violation if more than one has it.
+func (s *Simulation) Leader() *Controller {
 	var found *Controller
-	for _, n := range w.Controllers {
-		if n.State != nil && n.State.IsLeaderAt(n.monotonicNow()) {
+	for _, c := range s.Controllers {
+		if c.State != nil && c.State.IsLeaderAt(c.monotonicNow()) {
 			if found != nil {
-				w.Checker.reportViolation("two_leaders", "%s and %s", found.Name, n.Name)
+				s.Checker.reportViolation("two_leaders", "%s and %s", found.Name, c.Name)
 			}
-			found = n
+			found = c
 		}
 	}
 	return found
 }
 
-// deliverReportsToNextLeader gives the reports kept for the next leader to every controller
-// as it begins.
-func (w *Simulation) deliverReportsToNextLeader() {
-	if l := w.Leader(); l != nil && l != w.lastLeader {
-		w.lastLeader = l
-		for _, r := range w.reportsForNextLeader {
-			for _, n := range w.Controllers {
-				n.sendRequest("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: r} }, func(core.Reply) {})
+// deliverReportsToNextLeader checks every 10 ms for a new leader. It then sends the
+// reports kept for that moment to every controller.
+func (s *Simulation) deliverReportsToNextLeader() {
+	if leader := s.Leader(); leader != nil && leader != s.lastLeader {
+		s.lastLeader = leader
+		for _, r := range s.reportsForNextLeader {
+			for _, c := range s.Controllers {
+				c.sendRequest("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: r} }, func(core.Reply) {})
 			}
 		}
-		w.reportsForNextLeader = nil
+		s.reportsForNextLeader = nil
 	}
-	w.After(10*time.Millisecond, w.deliverReportsToNextLeader)
+	s.After(10*time.Millisecond, s.deliverReportsToNextLeader)
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -2,61 +2,64 @@
 
 import "time"
 
-// The network between all hosts.
+// This file simulates the network between all hosts.
 
-// link is a direction of the network between two hosts.
+// link is one direction of the network between two hosts.
 type link struct {
-	mode string // "", "drop" or "hold"
-	held []func()
+	mode string   // "" (delivers), "drop" or "hold"
+	held []func() // deliveries that wait for Heal
 }
 
-// Cut breaks the network between two hosts, both ways. mode "drop" loses
-// packets, "hold" delivers them when the cut is healed.
-func (w *Simulation) Cut(a, b, mode string) {
-	w.link(a, b).mode = mode
-	w.link(b, a).mode = mode
+// Cut interrupts the network between two hosts in both directions. Mode "drop"
+// loses messages; mode "hold" delivers them after Heal.
+func (s *Simulation) Cut(a, b, mode string) {
+	s.link(a, b).mode = mode
+	s.link(b, a).mode = mode
 }
 
-// Heal mends it; what was held is delivered late.
-func (w *Simulation) Heal(a, b string) {
-	for _, l := range []*link{w.link(a, b), w.link(b, a)} {
+// Heal restores the network between two hosts and delivers the messages held.
+func (s *Simulation) Heal(a, b string) {
+	for _, l := range []*link{s.link(a, b), s.link(b, a)} {
 		l.mode = ""
 		held := l.held
 		l.held = nil
 		for _, f := range held {
-			w.After(w.latency(), f)
+			s.After(s.latency(), f)
 		}
 	}
 }
 
-func (w *Simulation) link(a, b string) *link {
+// link returns the link from a to b, which it creates on first use.
+func (s *Simulation) link(a, b string) *link {
 	k := [2]string{a, b}
-	if w.links[k] == nil {
-		w.links[k] = &link{}
+	if s.links[k] == nil {
+		s.links[k] = &link{}
 	}
-	return w.links[k]
+	return s.links[k]
 }
 
-func (w *Simulation) latency() time.Duration {
-	return time.Millisecond + time.Duration(w.Rand.Int64N(int64(4*time.Millisecond)))
+// latency returns a random delivery time of 1 to 5 ms.
+func (s *Simulation) latency() time.Duration {
+	return time.Millisecond + time.Duration(s.Rand.Int64N(int64(4*time.Millisecond)))
 }
 
-// send delivers f from a to b, or not.
-func (w *Simulation) send(a, b string, f func()) {
-	l := w.link(a, b)
+// send delivers a message from a to b: it runs f after the network latency, holds
+// it until Heal, or drops it, depending on the mode of the link.
+func (s *Simulation) send(a, b string, f func()) {
+	l := s.link(a, b)
 	switch l.mode {
 	case "drop":
 	case "hold":
 		l.held = append(l.held, f)
 	default:
-		w.After(w.latency(), f)
+		s.After(s.latency(), f)
 	}
 }
 
-// maybeRepeat runs f once more, by a moment or by well over a lease later, for a
-// part of the requests.
-func (w *Simulation) maybeRepeat(f func()) {
-	if w.RepeatFraction > 0 && w.Rand.Float64() < w.RepeatFraction {
-		w.After(time.Second+time.Duration(w.Rand.Int64N(int64(3*w.Options.Config.Lease))), f)
+// maybeRepeat runs f for a fraction RepeatFraction of its calls, after 1 s plus a
+// random time of up to three leases. f carries a request out a second time.
+func (s *Simulation) maybeRepeat(f func()) {
+	if s.RepeatFraction > 0 && s.Rand.Float64() < s.RepeatFraction {
+		s.After(time.Second+time.Duration(s.Rand.Int64N(int64(3*s.Options.Config.Lease))), f)
 	}
 }
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -1,7 +1,8 @@
-// Package sim simulates all that the service deals with — state
-// service, cloud, workers, users and the network between them — on a virtual
-// clock, and a checker of the rules. Whole-service tests run several cores
-// against them: no sockets, no waiting, and the same seed gives the same day.
+// Package sim simulates everything that the controllers communicate with: the
+// state service, the cloud, workers, users and the network between them. It runs
+// on a virtual clock, and a checker watches the rules of the protocol.
+// Whole-service tests run several controller cores against it without sockets or
+// real waiting. The same seed always gives the same run.
 package sim
 
 import (
@@ -15,34 +16,40 @@
 	"mulleinfall/internal/model"
 )
 
-// Options describe a day.
+// Options configure a simulation.
 type Options struct {
-	Seed         uint64
-	Controllers  int
-	Zones        []string
-	Types        []model.MachineType
-	Config       core.Config // Self, Peers and Boot are filled in
+	Seed        uint64
+	Controllers int // number of controllers
+	Zones       []string
+	Types       []model.MachineType
+	// Config is the configuration of every controller. Controller.Start sets Self,
+	// Peers and Incarnation.
+	Config core.Config
+	// RestartDelay is the time from a crash of a controller to its next start.
 	RestartDelay time.Duration
-	ListLag      time.Duration
-	// Capacity is how many machines of each type and zone the cloud has.
+	// ListLag is how old the cloud's list of machines is.
+	ListLag time.Duration
+	// Capacity is the number of machines that the cloud has of each type in each
+	// zone, counted separately for spot and other machines.
 	Capacity int
-	// WorkerStepInterval is how often a worker looks after its tasks; 0 means 20 ms.
+	// WorkerStepInterval is the time between two steps of a worker, in which it
+	// advances its tasks and reports. 0 means 20 ms.
 	WorkerStepInterval time.Duration
-	// ConfigurePreviousVersion is how a controller of the former version is set up, if Config isn't
-	// what that would make of the settings.
+	// ConfigurePreviousVersion, if set, makes all controllers start with the previous
+	// version. It changes Config to what that version makes of the same settings.
 	ConfigurePreviousVersion func(*core.Config)
-	// Tamper, if set, may change a node's effects: tests of the checker break
-	// the service with it on purpose.
-	Tamper func(w *Simulation, n *Controller, e core.Effect) core.Effect
+	// Tamper, if set, can replace the effects of a controller. The tests of the
+	// checker use it to break the service on purpose.
+	Tamper func(s *Simulation, c *Controller, e core.Effect) core.Effect
 }
 
-// Simulation is everything outside the cores.
+// Simulation is a simulated cluster with its virtual clock.
 type Simulation struct {
 	Options Options
-	Now     time.Duration
+	Now     time.Duration // virtual time since the start of the simulation
 	Rand    *rand.Rand
 	queue   eventQueue
-	seq     uint64
+	seq     uint64 // number of the last event queued
 
 	Controllers []*Controller
 	Store       *Store
@@ -51,39 +58,41 @@
 	Users       *Users
 	Checker     *Checker
 
-	// LateReportCopyFraction is the part of the workers' reports of which a copy comes late.
+	// LateReportCopyFraction is the fraction of the workers' reports of which a late
+	// copy arrives at a random controller.
 	LateReportCopyFraction float64
-	// RepeatFraction is the part of the requests carried out that come a second time,
-	// late: commands, changes of the state service, calls to the cloud,
-	// messages between controllers, users' submissions and cancellations. Nobody
-	// gets the second answer.
+	// RepeatFraction is the fraction of requests that are carried out a second time
+	// later: commands, calls to the state service and the cloud, messages between
+	// controllers, and users' submissions and cancellations. The second answer is
+	// dropped.
 	RepeatFraction float64
 
-	// LateCommandFraction is the part of the direct commands that are held up on their way:
-	// they get no answer and are carried out once, 2 to 16 s late, if epoch and
+	// LateCommandFraction is the fraction of direct commands that the network delays
+	// by 2 to 16 s. They get no answer. The worker carries them out once, if epoch and
 	// session still match.
 	LateCommandFraction float64
 
-	// NextStartRefusal is the reason for which the next start is refused, by whichever
-	// machine; "": it isn't. Refusals counts them.
+	// NextStartRefusal, if not empty, is the cause with which the next machine that is
+	// ordered to start a task refuses it. RefusedStarts counts such refusals.
 	NextStartRefusal string
 	RefusedStarts    int
 
-	// NextLeaderCopyFraction is the part of the workers' reports of which a copy is kept and
-	// reaches every controller just as the next leader begins.
+	// NextLeaderCopyFraction is the fraction of the workers' reports of which a copy is
+	// kept and delivered to every controller when the next leader takes over.
 	NextLeaderCopyFraction float64
 	reportsForNextLeader   []model.Report
 	lastLeader             *Controller
 
-	// OnPreviousVersion are the controllers that run the former version when they start.
+	// OnPreviousVersion holds, by name, whether a controller runs the previous version
+	// from its next start on.
 	OnPreviousVersion map[string]bool
 
 	links        map[[2]string]*link
-	Trace        []string // what happened, for people to read
-	TraceEnabled bool     // keep the trace
+	Trace        []string // log of the events, one line each
+	TraceEnabled bool     // whether Trace is recorded
 }
 
-// DefaultOptions is a small deployment: three controllers in three zones.
+// DefaultOptions describes a small deployment: three controllers in three zones.
 func DefaultOptions(seed uint64) Options {
 	zones := []string{"a", "b", "c"}
 	return Options{
@@ -103,48 +112,49 @@
 	}
 }
 
-// New makes a world with all its controllers started.
-func New(opt Options) *Simulation {
-	w := &Simulation{Options: opt, Rand: rand.New(rand.NewPCG(opt.Seed, 7)), Workers: map[string]*Worker{}, links: map[[2]string]*link{}}
-	w.Checker = &Checker{sim: w, jobs: map[string]*jobRecord{}}
-	w.Store = newStore(w)
-	w.Cloud = &Cloud{sim: w, rentals: map[string][]string{}, machines: map[string]*rentedMachine{}}
-	w.Users = &Users{sim: w}
-	w.OnPreviousVersion = map[string]bool{}
-	for i := 0; i < opt.Controllers; i++ {
-		w.OnPreviousVersion[fmt.Sprintf("n%d", i)] = opt.ConfigurePreviousVersion != nil
-		n := &Controller{sim: w, Name: fmt.Sprintf("n%d", i), index: i}
-		w.Controllers = append(w.Controllers, n)
+// New creates a simulation and starts all its controllers.
+func New(options Options) *Simulation {
+	s := &Simulation{Options: options, Rand: rand.New(rand.NewPCG(options.Seed, 7)), Workers: map[string]*Worker{}, links: map[[2]string]*link{}}
+	s.Checker = &Checker{sim: s, jobs: map[string]*jobRecord{}}
+	s.Store = newStore(s)
+	s.Cloud = &Cloud{sim: s, rentals: map[string][]string{}, machines: map[string]*rentedMachine{}}
+	s.Users = &Users{sim: s}
+	s.OnPreviousVersion = map[string]bool{}
+	for i := 0; i < options.Controllers; i++ {
+		s.OnPreviousVersion[fmt.Sprintf("n%d", i)] = options.ConfigurePreviousVersion != nil
+		c := &Controller{sim: s, Name: fmt.Sprintf("n%d", i), index: i}
+		s.Controllers = append(s.Controllers, c)
 	}
-	for _, n := range w.Controllers {
-		n.Start()
+	for _, c := range s.Controllers {
+		c.Start()
 	}
-	w.deliverReportsToNextLeader()
-	return w
+	s.deliverReportsToNextLeader()
+	return s
 }
 
-// At runs f at time t.
-func (w *Simulation) At(t time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{max(t, w.Now), w.seq, f})
+// At runs f at time t, or now if t has passed.
+func (s *Simulation) At(t time.Duration, f func()) {
+	s.seq++
+	heap.Push(&s.queue, event{max(t, s.Now), s.seq, f})
 }
 
-// After runs f d from now.
-func (w *Simulation) After(d time.Duration, f func()) { w.At(w.Now+d, f) }
+// After runs f after the duration d.
+func (s *Simulation) After(d time.Duration, f func()) { s.At(s.Now+d, f) }
 
-// RunUntil plays the day until t.
-func (w *Simulation) RunUntil(t time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= t {
-		e := heap.Pop(&w.queue).(event)
-		w.Now = e.at
+// RunUntil runs all events up to time t.
+func (s *Simulation) RunUntil(t time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= t {
+		e := heap.Pop(&s.queue).(event)
+		s.Now = e.at
 		e.run()
 	}
-	w.Now = t
+	s.Now = t
 }
 
-func (w *Simulation) tracef(format string, args ...any) {
-	if w.TraceEnabled {
-		w.Trace = append(w.Trace, fmt.Sprintf("%9.3f %s", w.Now.Seconds(), fmt.Sprintf(format, args...)))
+// tracef adds a line with the current time to the trace, if it is enabled.
+func (s *Simulation) tracef(format string, args ...any) {
+	if s.TraceEnabled {
+		s.Trace = append(s.Trace, fmt.Sprintf("%9.3f %s", s.Now.Seconds(), fmt.Sprintf(format, args...)))
 	}
 }
 
