--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -9,44 +9,53 @@
 	"mulleinfall/internal/core"
 )
 
-// Store stands in for the state service.
+// Store simulates the state service: a key-value store with revisions, leases,
+// transactions and watches.
 type Store struct {
 	sim           *Simulation
 	revision      uint64
 	items         map[string]*storedValue
-	changeLog     []core.Item
+	changeLog     []core.Item // all changes by revision, for watches
 	leases        map[uint64]*lease
 	lastLeaseID   uint64
-	Unavailable   bool            // an outage: every node gets 503
-	UnavailableTo map[string]bool // nodes that alone get 503
-	ReplayDelay   time.Duration   // if set, each transaction is also applied this much later again
-	// UnansweredFraction is the part of the transactions that get no answer. They are
-	// carried out 2 to 12 s later, after newer ones, or at once if AtOnce is set.
+	Unavailable   bool            // outage: every controller gets 503
+	UnavailableTo map[string]bool // controllers that get 503 while others are served
+	// ReplayDelay, if set, makes each transaction be applied a second time this much
+	// later. It has no effect while MaxExtraLatency is set.
+	ReplayDelay time.Duration
+	// UnansweredFraction is the fraction of transactions that get no answer. They are
+	// applied 2 to 12 s later, after newer ones, or at once with
+	// ApplyUnansweredAtOnce.
 	UnansweredFraction    float64
 	ApplyUnansweredAtOnce bool
-	// MaxValueBytes and MaxOps bound values, in bytes, and the changes of a
-	// transaction, MaxWrites the changes a second; 0: they are not bounded. Refused
-	// counts what was beyond.
+	// MaxValueBytes limits the size of a value, MaxTxnChanges the changes of a
+	// transaction and MaxWritesPerSecond the changes per second. 0 means no limit.
+	// RefusedTooLarge counts the transactions refused by the first two limits,
+	// RefusedRateLimited those refused by the third.
 	MaxValueBytes, MaxTxnChanges, MaxWritesPerSecond int
 	RefusedTooLarge, RefusedRateLimited              int
-	recentWrites                                     []time.Duration
-	// MaxExtraLatency is how much longer than usual answers may take.
+	recentWrites                                     []time.Duration // time of each change in the last second
+	// MaxExtraLatency, if set, delays each answer by a random time up to it. Answers to
+	// blocking watches are not delayed.
 	MaxExtraLatency time.Duration
-	watches         []*watch
-	TxnCount        int
+	watches         []*watch // watch calls that wait for a change
+	TxnCount        int      // transactions received, refused ones included
 }
 
+// storedValue is the current value of a key.
 type storedValue struct {
 	value       json.RawMessage
 	modRevision uint64
-	leaseID     uint64
+	leaseID     uint64 // 0: the key belongs to no lease
 }
 
+// lease is a lease of the state service. Its keys are removed when it ends.
 type lease struct {
 	duration time.Duration
 	endsAt   time.Duration
 }
 
+// watch is a watch call that blocks until there is a change or its time is up.
 type watch struct {
 	call       core.StoreCall
 	reply      func(core.StoreResult)
@@ -54,22 +63,24 @@
 	controller string
 }
 
-func newStore(w *Simulation) *Store {
-	s := &Store{sim: w, items: map[string]*storedValue{}, leases: map[uint64]*lease{}, UnavailableTo: map[string]bool{}}
+// newStore creates an empty store that checks every 50 ms for expired leases. Leases
+// don't expire during an outage.
+func newStore(sim *Simulation) *Store {
+	s := &Store{sim: sim, items: map[string]*storedValue{}, leases: map[uint64]*lease{}, UnavailableTo: map[string]bool{}}
 	var expire func()
 	expire = func() {
 		for id := uint64(1); id <= s.lastLeaseID; id++ {
-			if l := s.leases[id]; l != nil && !s.Unavailable && w.Now >= l.endsAt {
+			if l := s.leases[id]; l != nil && !s.Unavailable && sim.Now >= l.endsAt {
 				s.endLease(id)
 			}
 		}
-		w.After(50*time.Millisecond, expire)
+		sim.After(50*time.Millisecond, expire)
 	}
-	w.After(0, expire)
+	sim.After(0, expire)
 	return s
 }
 
-// Recover ends an outage: all leases get their full time again.
+// Recover ends an outage. Every lease gets its full duration again.
 func (s *Store) Recover() {
 	s.Unavailable = false
 	for _, l := range s.leases {
@@ -78,182 +89,191 @@
 	s.answerWatches()
 }
 
+// endLease ends a lease and removes its keys.
 func (s *Store) endLease(id uint64) {
 	delete(s.leases, id)
-	for _, k := range sortedKeys(s.items) {
-		if s.items[k].leaseID == id {
+	for _, key := range sortedKeys(s.items) {
+		if s.items[key].leaseID == id {
 			s.revision++
-			delete(s.items, k)
-			s.changeLog = append(s.changeLog, core.Item{Key: k, ModRevision: s.revision, Removed: true})
+			delete(s.items, key)
+			s.changeLog = append(s.changeLog, core.Item{Key: key, ModRevision: s.revision, Removed: true})
 		}
 	}
 	s.answerWatches()
 }
 
-func (s *Store) serve(node string, c core.StoreCall, reply func(core.StoreResult)) {
-	if c.Op == core.StoreWatch && c.BlockTimeout > 0 {
-		wt := &watch{call: c, reply: reply, controller: node}
-		s.watches = append(s.watches, wt)
-		s.sim.After(c.BlockTimeout, func() { s.answerWatch(wt, true) })
+// serve handles a call of a controller with the faults that are set. It calls reply
+// with the result, unless the call gets no answer.
+func (s *Store) serve(controller string, call core.StoreCall, reply func(core.StoreResult)) {
+	if call.Op == core.StoreWatch && call.BlockTimeout > 0 {
+		pending := &watch{call: call, reply: reply, controller: controller}
+		s.watches = append(s.watches, pending)
+		s.sim.After(call.BlockTimeout, func() { s.answerWatch(pending, true) })
 		s.answerWatches()
 		return
 	}
-	if s.Unavailable || s.UnavailableTo[node] {
-		reply(core.StoreResult{CallID: c.CallID, Status: 503})
+	if s.Unavailable || s.UnavailableTo[controller] {
+		reply(core.StoreResult{CallID: call.CallID, Status: 503})
 		return
 	}
-	if c.Op == core.StoreTxn && s.UnansweredFraction > 0 && s.sim.Rand.Float64() < s.UnansweredFraction {
+	if call.Op == core.StoreTxn && s.UnansweredFraction > 0 && s.sim.Rand.Float64() < s.UnansweredFraction {
 		if s.ApplyUnansweredAtOnce {
-			s.apply(c)
+			s.apply(call)
 		} else {
-			s.sim.After(2*time.Second+time.Duration(s.sim.Rand.Int64N(int64(10*time.Second))), func() { s.apply(c) })
+			s.sim.After(2*time.Second+time.Duration(s.sim.Rand.Int64N(int64(10*time.Second))), func() { s.apply(call) })
 		}
 		return
 	}
 	if s.MaxExtraLatency > 0 {
-		s.sim.After(time.Duration(s.sim.Rand.Int64N(int64(s.MaxExtraLatency))), func() { reply(s.apply(c)) })
+		s.sim.After(time.Duration(s.sim.Rand.Int64N(int64(s.MaxExtraLatency))), func() { reply(s.apply(call)) })
 		return
 	}
-	reply(s.apply(c))
-	if c.Op == core.StoreTxn && s.ReplayDelay > 0 {
-		s.sim.After(s.ReplayDelay, func() { s.apply(c) })
+	reply(s.apply(call))
+	if call.Op == core.StoreTxn && s.ReplayDelay > 0 {
+		s.sim.After(s.ReplayDelay, func() { s.apply(call) })
 	}
 }
 
+// answerWatches answers all watches that a change concerns.
 func (s *Store) answerWatches() {
-	for _, wt := range s.watches {
-		s.answerWatch(wt, false)
+	for _, pending := range s.watches {
+		s.answerWatch(pending, false)
 	}
 	kept := s.watches[:0]
-	for _, wt := range s.watches {
-		if !wt.done {
-			kept = append(kept, wt)
+	for _, pending := range s.watches {
+		if !pending.done {
+			kept = append(kept, pending)
 		}
 	}
 	s.watches = kept
 }
 
-func (s *Store) answerWatch(wt *watch, timeUp bool) {
-	if wt.done || s.Unavailable || s.UnavailableTo[wt.controller] {
-		return // open watches wait during an outage
+// answerWatch answers a watch if there are changes for it or its time is up.
+func (s *Store) answerWatch(pending *watch, timeUp bool) {
+	if pending.done || s.Unavailable || s.UnavailableTo[pending.controller] {
+		return // watches stay open during an outage
 	}
-	d := s.apply(core.StoreCall{CallID: wt.call.CallID, Op: core.StoreWatch, Prefix: wt.call.Prefix, AfterRevision: wt.call.AfterRevision})
-	if len(d.Items) > 0 || timeUp {
-		wt.done = true
-		wt.reply(d)
+	result := s.apply(core.StoreCall{CallID: pending.call.CallID, Op: core.StoreWatch, Prefix: pending.call.Prefix, AfterRevision: pending.call.AfterRevision})
+	if len(result.Items) > 0 || timeUp {
+		pending.done = true
+		pending.reply(result)
 	}
 }
 
-// apply carries a call out at once.
-func (s *Store) apply(c core.StoreCall) core.StoreResult {
-	d := core.StoreResult{CallID: c.CallID, Status: 200, Revision: s.revision}
-	switch c.Op {
+// apply carries out a call and returns its result.
+func (s *Store) apply(call core.StoreCall) core.StoreResult {
+	result := core.StoreResult{CallID: call.CallID, Status: 200, Revision: s.revision}
+	switch call.Op {
 	case core.StoreList:
-		s.list(c, &d)
+		s.list(call, &result)
 	case core.StoreWatch:
-		for _, it := range s.changeLog {
-			if it.ModRevision > c.AfterRevision && strings.HasPrefix(it.Key, c.Prefix) {
-				d.Items = append(d.Items, it)
+		for _, item := range s.changeLog {
+			if item.ModRevision > call.AfterRevision && strings.HasPrefix(item.Key, call.Prefix) {
+				result.Items = append(result.Items, item)
 			}
 		}
 	case core.StoreLease:
 		s.lastLeaseID++
-		s.leases[s.lastLeaseID] = &lease{c.TTL, s.sim.Now + c.TTL}
-		d.Lease = s.lastLeaseID
+		s.leases[s.lastLeaseID] = &lease{call.TTL, s.sim.Now + call.TTL}
+		result.Lease = s.lastLeaseID
 	case core.StoreRenew, core.StoreRevoke:
-		s.changeLease(c, &d)
+		s.changeLease(call, &result)
 	case core.StoreTxn:
-		s.transact(c, &d)
+		s.transact(call, &result)
 	}
-	return d
+	return result
 }
 
-// list returns keys in order, as many as were asked for.
-func (s *Store) list(c core.StoreCall, d *core.StoreResult) {
+// list returns keys in lexical order, up to the limit of the call.
+func (s *Store) list(call core.StoreCall, result *core.StoreResult) {
 	keys := sortedKeys(s.items)
-	for i := sort.SearchStrings(keys, c.Prefix); i < len(keys) && strings.HasPrefix(keys[i], c.Prefix); i++ {
-		if keys[i] <= c.StartAfter {
+	for i := sort.SearchStrings(keys, call.Prefix); i < len(keys) && strings.HasPrefix(keys[i], call.Prefix); i++ {
+		if keys[i] <= call.StartAfter {
 			continue
 		}
-		if len(d.Items) == c.Limit {
-			d.More = true
+		if len(result.Items) == call.Limit {
+			result.More = true
 			return
 		}
-		it := s.items[keys[i]]
-		d.Items = append(d.Items, core.Item{Key: keys[i], Value: it.value, ModRevision: it.modRevision})
+		item := s.items[keys[i]]
+		result.Items = append(result.Items, core.Item{Key: keys[i], Value: item.value, ModRevision: item.modRevision})
 	}
 }
 
-// changeLease renews a lease or ends it.
-func (s *Store) changeLease(c core.StoreCall, d *core.StoreResult) {
-	l := s.leases[c.Lease]
+// changeLease renews or revokes a lease.
+func (s *Store) changeLease(call core.StoreCall, result *core.StoreResult) {
+	held := s.leases[call.Lease]
 	switch {
-	case l == nil:
-		d.Status = 404
-	case c.Op == core.StoreRenew:
-		l.endsAt = s.sim.Now + l.duration
+	case held == nil:
+		result.Status = 404
+	case call.Op == core.StoreRenew:
+		held.endsAt = s.sim.Now + held.duration
 	default:
-		s.endLease(c.Lease)
+		s.endLease(call.Lease)
 	}
 }
 
-// transact carries a transaction out if its guards hold.
-func (s *Store) transact(c core.StoreCall, d *core.StoreResult) {
+// transact applies a transaction if it is within the limits and its preconditions
+// hold.
+func (s *Store) transact(call core.StoreCall, result *core.StoreResult) {
 	s.TxnCount++
-	if d.Status = s.checkLimits(c); d.Status != 200 {
+	if result.Status = s.checkLimits(call); result.Status != 200 {
 		return
 	}
-	for _, ch := range c.Changes {
-		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			d.Status, d.Err = 400, "no such lease"
+	for _, change := range call.Changes {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
+			result.Status, result.Err = 400, "no such lease"
 			return
 		}
 	}
-	for _, g := range c.Preconditions {
-		if s.modRevisionOf(g.Key) != g.ModRevision {
-			d.FailedKeys = append(d.FailedKeys, g.Key)
+	for _, precondition := range call.Preconditions {
+		if s.modRevisionOf(precondition.Key) != precondition.ModRevision {
+			result.FailedKeys = append(result.FailedKeys, precondition.Key)
 		}
 	}
-	if len(d.FailedKeys) > 0 {
-		d.Status = 409
+	if len(result.FailedKeys) > 0 {
+		result.Status = 409
 		return
 	}
 	s.revision++
-	for _, ch := range c.Changes {
-		s.applyChange(ch)
+	for _, change := range call.Changes {
+		s.applyChange(change)
 	}
-	d.Revision = s.revision
+	result.Revision = s.revision
 	s.sim.After(0, s.answerWatches)
 }
 
-// modRevisionOf is the version of a key; 0 where it does not exist.
+// modRevisionOf returns the modification revision of a key, or 0 if the key does not
+// exist.
 func (s *Store) modRevisionOf(key string) uint64 {
-	if it := s.items[key]; it != nil {
-		return it.modRevision
+	if item := s.items[key]; item != nil {
+		return item.modRevision
 	}
 	return 0
 }
 
-// applyChange sets or removes a key at the present revision.
-func (s *Store) applyChange(ch core.Change) {
-	if !ch.Remove {
-		s.items[ch.Key] = &storedValue{ch.Value, s.revision, ch.Lease}
-		s.changeLog = append(s.changeLog, core.Item{Key: ch.Key, Value: ch.Value, ModRevision: s.revision})
+// applyChange sets or removes a key at the current revision.
+func (s *Store) applyChange(change core.Change) {
+	if !change.Remove {
+		s.items[change.Key] = &storedValue{change.Value, s.revision, change.Lease}
+		s.changeLog = append(s.changeLog, core.Item{Key: change.Key, Value: change.Value, ModRevision: s.revision})
 		return
 	}
-	if s.items[ch.Key] != nil {
-		delete(s.items, ch.Key)
-		s.changeLog = append(s.changeLog, core.Item{Key: ch.Key, ModRevision: s.revision, Removed: true})
+	if s.items[change.Key] != nil {
+		delete(s.items, change.Key)
+		s.changeLog = append(s.changeLog, core.Item{Key: change.Key, ModRevision: s.revision, Removed: true})
 	}
 }
 
-// checkLimits is what a transaction gets that is beyond the limits: 400 or 429.
-func (s *Store) checkLimits(c core.StoreCall) int {
-	large := s.MaxTxnChanges > 0 && (len(c.Changes) > s.MaxTxnChanges || len(c.Preconditions) > 4*s.MaxTxnChanges)
-	for _, ch := range c.Changes {
-		large = large || s.MaxValueBytes > 0 && len(ch.Value) > s.MaxValueBytes
+// checkLimits returns the status for a transaction: 400 if it is too large, 429 if it
+// exceeds the rate limit, or 200. The number of preconditions may be up to four
+// times MaxTxnChanges.
+func (s *Store) checkLimits(call core.StoreCall) int {
+	isTooLarge := s.MaxTxnChanges > 0 && (len(call.Changes) > s.MaxTxnChanges || len(call.Preconditions) > 4*s.MaxTxnChanges)
+	for _, change := range call.Changes {
+		isTooLarge = isTooLarge || s.MaxValueBytes > 0 && len(change.Value) > s.MaxValueBytes
 	}
-	if large {
+	if isTooLarge {
 		s.RefusedTooLarge++
 		return 400
 	}
@@ -263,12 +283,12 @@
 	for len(s.recentWrites) > 0 && s.recentWrites[0] < s.sim.Now-time.Second {
 		s.recentWrites = s.recentWrites[1:]
 	}
-	// Bursts of one second's worth are allowed on top.
-	if len(s.recentWrites)+len(c.Changes) > 2*s.MaxWritesPerSecond {
+	// A burst of one more second's worth of changes is allowed.
+	if len(s.recentWrites)+len(call.Changes) > 2*s.MaxWritesPerSecond {
 		s.RefusedRateLimited++
 		return 429
 	}
-	for range c.Changes {
+	for range call.Changes {
 		s.recentWrites = append(s.recentWrites, s.sim.Now)
 	}
 	return 200
