--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -7,54 +7,60 @@
 	"mulleinfall/internal/model"
 )
 
-// Worker stands in for the worker of one machine.
+// Worker simulates one machine and the worker process on it.
 type Worker struct {
 	sim         *Simulation
 	info        model.ListedMachine
 	machineType *model.MachineType
-	stopped     bool
-	Paused      bool
-	// CannotReceive: its reports arrive, but answers and commands don't reach it.
+	stopped     bool // the machine no longer exists
+	Paused      bool // the machine is paused
+	// CannotReceive is set while neither commands nor answers to its reports reach the
+	// worker. Its reports reach the controllers.
 	CannotReceive bool
-	// CannotReport: it reaches no controller, while commands reach it.
+	// CannotReport is set while the worker's reports reach no controller. Commands
+	// reach the worker.
 	CannotReport bool
-	// ReportAnswersLost: commands reach it, but answers to its reports don't.
+	// ReportAnswersLost is set while answers to the worker's reports don't reach it.
+	// Commands do.
 	ReportAnswersLost bool
 
-	reclaimAt time.Duration // when the cloud takes the machine, as it has told; 0: not
+	reclaimAt time.Duration // when the cloud reclaims the machine; 0: no notice given
 
 	session, seq, epoch uint64
 	leaseStartedAt      time.Duration
 	tasks               map[string]*taskRun
 	images              map[string]bool
 	targetController    int
-	reportInFlight      int // number of the report under way; 0: none
+	reportInFlight      int // number of the report that waits for its answer; 0: none
 	reportCount         int
 	nextReportAt        time.Duration
-	hasChanges          bool
+	hasChanges          bool // there is something to report before the regular report is due
 	lastReportAt        time.Duration
-	delayedCommands     []func()      // commands that came while it hung
-	epochChangeAt       time.Duration // when a higher epoch last counted as a change
+	delayedCommands     []func()      // commands received while paused
+	epochChangeAt       time.Duration // when a higher epoch last triggered a report
 }
 
+// taskRun is one attempt of a task on a machine.
 type taskRun struct {
 	attempt   uint64
 	state     string
-	cause     string
-	saved     bool
-	endsAt    time.Duration
-	startedAt time.Duration
+	cause     string        // why it exited
+	saved     bool          // it exited after saving a checkpoint
+	endsAt    time.Duration // end of the current state
+	startedAt time.Duration // when its image was complete
 }
 
-func (w *Simulation) startWorker(info model.ListedMachine, typ *model.MachineType) {
-	wk := &Worker{sim: w, info: info, machineType: typ, session: 1, leaseStartedAt: w.Now, tasks: map[string]*taskRun{}, images: map[string]bool{}}
-	wk.targetController = w.Rand.IntN(len(w.Controllers))
-	w.Workers[info.Endpoint] = wk
-	w.tracef("machine %s is up in %s", info.Host, info.Zone)
-	wk.nextReportAt = w.Now
+// startWorker starts the worker of a machine that has booted.
+func (s *Simulation) startWorker(info model.ListedMachine, machineType *model.MachineType) {
+	wk := &Worker{sim: s, info: info, machineType: machineType, session: 1, leaseStartedAt: s.Now, tasks: map[string]*taskRun{}, images: map[string]bool{}}
+	wk.targetController = s.Rand.IntN(len(s.Controllers))
+	s.Workers[info.Endpoint] = wk
+	s.tracef("machine %s is up in %s", info.Host, info.Zone)
+	wk.nextReportAt = s.Now
 	wk.loop()
 }
 
+// stop ends the machine and all tasks on it.
 func (wk *Worker) stop() {
 	wk.stopped = true
 	for _, name := range sortedKeys(wk.tasks) {
@@ -64,31 +70,32 @@
 	delete(wk.sim.Workers, wk.info.Endpoint)
 }
 
-// Pause stops the machine for d; it goes on afterwards.
+// Pause pauses the machine for d. It then resumes with the commands that have arrived.
 func (wk *Worker) Pause(d time.Duration) {
 	wk.Paused = true
-	wk.sim.tracef("machine %s hangs", wk.info.Host)
-	since := wk.sim.Now
+	wk.sim.tracef("machine %s is paused", wk.info.Host)
+	pausedAt := wk.sim.Now
 	wk.sim.After(d, func() {
 		wk.Paused = false
-		for _, r := range wk.tasks {
-			r.endsAt += wk.sim.Now - since
+		for _, run := range wk.tasks {
+			run.endsAt += wk.sim.Now - pausedAt
 		}
 		wk.expireLease()
-		late := wk.delayedCommands
+		commands := wk.delayedCommands
 		wk.delayedCommands = nil
-		for _, f := range late {
-			f()
+		for _, handle := range commands {
+			handle()
 		}
 	})
 }
 
+// loop makes one step of the worker and schedules the next one.
 func (wk *Worker) loop() {
 	if wk.stopped {
 		return
 	}
-	// A machine that hangs runs nothing; past its lease nothing of its session
-	// can run again, so its tasks count as gone from then on.
+	// A paused machine runs nothing. After its lease has expired no task of its session
+	// can run again, so its tasks count as stopped from then on.
 	wk.expireLease()
 	if !wk.Paused {
 		wk.advanceTasks()
@@ -97,18 +104,19 @@
 			wk.sendReport()
 		}
 	}
-	pace := wk.sim.Options.WorkerStepInterval
-	if pace == 0 {
-		pace = 20 * time.Millisecond
+	interval := wk.sim.Options.WorkerStepInterval
+	if interval == 0 {
+		interval = 20 * time.Millisecond
 	}
-	wk.sim.After(pace, wk.loop)
+	wk.sim.After(interval, wk.loop)
 }
 
+// expireLease ends all tasks and starts a new session if the lease has expired.
 func (wk *Worker) expireLease() {
 	if wk.sim.Now < wk.leaseStartedAt+wk.sim.Options.Config.Lease {
 		return
 	}
-	wk.sim.tracef("machine %s: lease ran out", wk.info.Host)
+	wk.sim.tracef("machine %s: lease expired", wk.info.Host)
 	for _, name := range sortedKeys(wk.tasks) {
 		wk.sim.Checker.taskStopped(name, wk, wk.tasks[name])
 	}
@@ -118,92 +126,97 @@
 	wk.hasChanges = true
 }
 
-// advanceTasks moves tasks along: images arrive, tasks end.
+// advanceTasks changes the states of tasks whose time has come: images are complete,
+// tasks end, checkpoints are saved.
 func (wk *Worker) advanceTasks() {
 	for _, name := range sortedKeys(wk.tasks) {
-		r := wk.tasks[name]
-		t := wk.sim.Checker.jobOf(name)
-		if t != nil && t.spec.Kind == model.KindGang && r.state != model.TaskFetching {
-			wk.advanceGangTask(name, r, t)
+		run := wk.tasks[name]
+		job := wk.sim.Checker.jobOf(name)
+		if job != nil && job.spec.Kind == model.KindGang && run.state != model.TaskFetching {
+			wk.advanceGangTask(name, run, job)
 			continue
 		}
-		switch r.state {
+		switch run.state {
 		case model.TaskFetching:
-			if wk.sim.Now >= r.endsAt {
-				wk.images[t.spec.Image] = true
-				r.startedAt = wk.sim.Now
-				if t.spec.Kind == model.KindGang {
-					r.state, wk.hasChanges = model.TaskGathering, true
-					wk.sim.Checker.taskStarted(name, wk, r)
-					if t.doneTasks[name] {
-						wk.exitTask(name, r, model.CauseDone)
+			if wk.sim.Now >= run.endsAt {
+				wk.images[job.spec.Image] = true
+				run.startedAt = wk.sim.Now
+				if job.spec.Kind == model.KindGang {
+					run.state, wk.hasChanges = model.TaskGathering, true
+					wk.sim.Checker.taskStarted(name, wk, run)
+					if job.doneTasks[name] {
+						wk.exitTask(name, run, model.CauseDone)
 					} else {
-						t.gangAttemptFor(r.attempt).taskReady(name, wk)
+						job.gangAttemptFor(run.attempt).taskReady(name, wk)
 					}
 					continue
 				}
-				r.state, wk.hasChanges = model.TaskRunning, true
+				run.state, wk.hasChanges = model.TaskRunning, true
 				_, i, _ := model.ParseTaskName(name)
-				r.endsAt = wk.sim.Now + t.runTime + time.Duration(i)*t.runTimeStep
-				if t.spec.Kind == model.KindService {
-					r.endsAt = 1 << 62
+				run.endsAt = wk.sim.Now + job.runTime + time.Duration(i)*job.runTimeStep
+				if job.spec.Kind == model.KindService {
+					run.endsAt = 1 << 62
 				}
-				wk.sim.Checker.taskStarted(name, wk, r)
-				if t.doneTasks[name] {
-					wk.exitTask(name, r, model.CauseDone)
+				wk.sim.Checker.taskStarted(name, wk, run)
+				if job.doneTasks[name] {
+					wk.exitTask(name, run, model.CauseDone)
 				}
 			}
 		case model.TaskRunning:
-			if wk.sim.Now >= r.endsAt {
-				t.doneTasks[name] = true
-				wk.exitTask(name, r, model.CauseDone)
-				if len(t.doneTasks) == t.spec.Tasks {
-					wk.sim.Users.jobEnded(t)
+			if wk.sim.Now >= run.endsAt {
+				job.doneTasks[name] = true
+				wk.exitTask(name, run, model.CauseDone)
+				if len(job.doneTasks) == job.spec.Tasks {
+					wk.sim.Users.jobEnded(job)
 				}
 			}
 		case model.TaskSaving:
-			if wk.sim.Now >= r.endsAt {
-				r.saved = true
-				wk.exitTask(name, r, model.CauseStopped)
+			if wk.sim.Now >= run.endsAt {
+				run.saved = true
+				wk.exitTask(name, run, model.CauseStopped)
 			}
 		}
 	}
 }
 
-func (wk *Worker) exitTask(name string, r *taskRun, cause string) {
-	wk.sim.Checker.taskStopped(name, wk, r)
-	r.state, r.cause, wk.hasChanges = model.TaskExited, cause, true
+// exitTask sets a task to exited.
+func (wk *Worker) exitTask(name string, run *taskRun, cause string) {
+	wk.sim.Checker.taskStopped(name, wk, run)
+	run.state, run.cause, wk.hasChanges = model.TaskExited, cause, true
 }
 
-func (wk *Worker) handleCommands(c core.AgentCall, reply func(core.AgentResult)) {
-	run := func() {
+// handleCommands carries out a direct command and answers with a report. It refuses
+// the orders if the epoch is lower than the worker's or the session differs. A paused
+// machine does this when it resumes.
+func (wk *Worker) handleCommands(call core.AgentCall, reply func(core.AgentResult)) {
+	handle := func() {
 		if wk.stopped {
 			return
 		}
 		wk.expireLease()
-		d := core.AgentResult{CallID: c.CallID, Status: 200}
-		if c.Epoch < wk.epoch || c.Session != wk.session {
-			d.Status = 409
+		result := core.AgentResult{CallID: call.CallID, Status: 200}
+		if call.Epoch < wk.epoch || call.Session != wk.session {
+			result.Status = 409
 		} else {
-			wk.raiseEpoch(c.Epoch)
-			wk.executeOrders(c.Orders)
+			wk.raiseEpoch(call.Epoch)
+			wk.executeOrders(call.Orders)
 		}
-		rep := wk.nextReport()
-		d.Report = &rep
-		reply(d)
+		report := wk.nextReport()
+		result.Report = &report
+		reply(result)
 	}
 	if wk.Paused {
-		wk.delayedCommands = append(wk.delayedCommands, run)
+		wk.delayedCommands = append(wk.delayedCommands, handle)
 		return
 	}
 	if !wk.CannotReceive {
-		run()
+		handle()
 	}
 }
 
-// raiseEpoch takes in the epoch of an answer or command. A higher one is worth a
-// report of its own, but at most once in half a lease (PROTOCOL): with more changes
-// of leader than that, a worker shows the last one's epoch in its next regular report.
+// raiseEpoch applies the epoch of an answer or command. A higher epoch triggers a
+// report of its own, but at most once per half lease (see PROTOCOL). If the leader
+// changes more often, the next regular report shows the latest epoch.
 func (wk *Worker) raiseEpoch(epoch uint64) {
 	if epoch <= wk.epoch {
 		return
@@ -214,95 +227,98 @@
 	}
 }
 
-// Restart ends the worker's process; it is back at once under the same name
-// and counts from the start again. What it ran is gone.
+// Restart restarts the worker process at once under the same name. Its tasks end, and
+// its session, report sequence and epoch start again from their first values.
 func (wk *Worker) Restart() {
-	wk.sim.tracef("worker on %s begins anew", wk.info.Host)
+	wk.sim.tracef("worker on %s restarts", wk.info.Host)
 	for _, name := range sortedKeys(wk.tasks) {
 		wk.sim.Checker.taskStopped(name, wk, wk.tasks[name])
 	}
 	wk.tasks = map[string]*taskRun{}
 	wk.session, wk.seq, wk.epoch, wk.epochChangeAt = 1, 0, 0, 0
 	wk.leaseStartedAt, wk.hasChanges = wk.sim.Now, true
-	wk.reportCount++ // an answer on its way to the former process is lost
+	wk.reportCount++ // an answer to a report of the previous process is dropped
 	wk.reportInFlight, wk.delayedCommands = 0, nil
 	wk.targetController = wk.sim.Rand.IntN(len(wk.sim.Controllers))
 }
 
-// executeOrders carries commands out in order.
+// executeOrders carries out orders in sequence.
 func (wk *Worker) executeOrders(orders []model.Order) {
-	for _, o := range orders {
-		r := wk.tasks[o.Task]
-		switch o.Verb {
+	for _, order := range orders {
+		run := wk.tasks[order.Task]
+		switch order.Verb {
 		case model.OrderStart:
-			wk.startTask(o, r)
+			wk.startTask(order, run)
 		case model.OrderKill:
-			if r != nil && r.attempt == o.Attempt && r.state != model.TaskExited {
-				wk.killTask(o, r)
+			if run != nil && run.attempt == order.Attempt && run.state != model.TaskExited {
+				wk.killTask(order, run)
 			}
 		case model.OrderForget:
-			if r != nil && r.attempt == o.Attempt && r.state == model.TaskExited {
-				delete(wk.tasks, o.Task)
+			if run != nil && run.attempt == order.Attempt && run.state == model.TaskExited {
+				delete(wk.tasks, order.Task)
 			}
 		}
 	}
 	wk.advanceTasks()
 }
 
-// startTask begins an attempt, or refuses it; r is what the machine has of the task.
-func (wk *Worker) startTask(o model.Order, r *taskRun) {
-	if r != nil && r.attempt == o.Attempt {
+// startTask starts an attempt or refuses it. current is the attempt of the task that
+// the machine has, or nil.
+func (wk *Worker) startTask(order model.Order, current *taskRun) {
+	if current != nil && current.attempt == order.Attempt {
 		return
 	}
 	wk.hasChanges = true
-	if r != nil && r.state != model.TaskExited {
-		return // in use: the running attempt stays on the list
+	if current != nil && current.state != model.TaskExited {
+		return // the next report shows the other attempt, which still runs
 	}
-	n := &taskRun{attempt: o.Attempt, state: model.TaskFetching}
-	t := wk.sim.Checker.jobOf(o.Task)
+	run := &taskRun{attempt: order.Attempt, state: model.TaskFetching}
+	job := wk.sim.Checker.jobOf(order.Task)
 	switch {
 	case wk.sim.NextStartRefusal != "":
-		n.state, n.cause = model.TaskExited, wk.sim.NextStartRefusal
+		run.state, run.cause = model.TaskExited, wk.sim.NextStartRefusal
 		wk.sim.NextStartRefusal = ""
 		wk.sim.RefusedStarts++
-	case t == nil:
-		n.state, n.cause = model.TaskExited, model.CauseNoSuchTask
-	case wk.taskCapacity(t) == 0:
-		n.state, n.cause = model.TaskExited, model.CauseNoCapacity
-	case wk.images[t.spec.Image]:
-		n.endsAt = wk.sim.Now
+	case job == nil:
+		run.state, run.cause = model.TaskExited, model.CauseNoSuchTask
+	case wk.taskCapacity(job) == 0:
+		run.state, run.cause = model.TaskExited, model.CauseNoCapacity
+	case wk.images[job.spec.Image]:
+		run.endsAt = wk.sim.Now
 	default:
-		n.endsAt = wk.sim.Now + time.Duration(t.spec.ImageGB/wk.machineType.FetchGBPerS*float64(time.Second))
+		run.endsAt = wk.sim.Now + time.Duration(job.spec.ImageGB/wk.machineType.FetchGBPerS*float64(time.Second))
 	}
-	wk.tasks[o.Task] = n // from now on it takes room
+	wk.tasks[order.Task] = run // uses capacity from now on
 }
 
-// killTask stops a task, which saves if it can and has the time.
-func (wk *Worker) killTask(o model.Order, r *taskRun) {
-	t := wk.sim.Checker.jobOf(o.Task)
-	if t.spec.Kind == model.KindGang && r.state != model.TaskFetching {
-		wk.stopGangTask(o.Task, r, t, o.GraceS)
+// killTask stops a task. A task with checkpoints saves one first if the grace period
+// is long enough.
+func (wk *Worker) killTask(order model.Order, run *taskRun) {
+	job := wk.sim.Checker.jobOf(order.Task)
+	if job.spec.Kind == model.KindGang && run.state != model.TaskFetching {
+		wk.stopGangTask(order.Task, run, job, order.GraceS)
 		return
 	}
-	if r.state == model.TaskRunning && t.spec.CheckpointEveryS > 0 && o.GraceS != nil && *o.GraceS >= t.spec.CheckpointCostS {
-		r.state, r.endsAt, wk.hasChanges = model.TaskSaving, wk.sim.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
+	if run.state == model.TaskRunning && job.spec.CheckpointEveryS > 0 && order.GraceS != nil && *order.GraceS >= job.spec.CheckpointCostS {
+		run.state, run.endsAt, wk.hasChanges = model.TaskSaving, wk.sim.Now+time.Duration(job.spec.CheckpointCostS*float64(time.Second)), true
 		return
 	}
-	if r.state == model.TaskSaving && (o.GraceS == nil || *o.GraceS > 0) {
+	if run.state == model.TaskSaving && (order.GraceS == nil || *order.GraceS > 0) {
 		return
 	}
-	wk.exitTask(o.Task, r, model.CauseStopped)
+	wk.exitTask(order.Task, run, model.CauseStopped)
 }
 
-// taskCapacity is for how many tasks of a job the machine has room.
-func (wk *Worker) taskCapacity(t *jobRecord) int {
-	cpus, mem := wk.machineType.CPUs, wk.machineType.MemoryGB
-	for name, r := range wk.tasks {
-		if r.state != model.TaskExited {
-			o := wk.sim.Checker.jobOf(name)
-			cpus -= o.spec.CPUs
-			mem -= o.spec.MemoryGB
+// taskCapacity returns how many tasks of a job fit into the free capacity of the
+// machine.
+func (wk *Worker) taskCapacity(job *jobRecord) int {
+	cpus, memoryGB := wk.machineType.CPUs, wk.machineType.MemoryGB
+	for name, run := range wk.tasks {
+		if run.state != model.TaskExited {
+			other := wk.sim.Checker.jobOf(name)
+			cpus -= other.spec.CPUs
+			memoryGB -= other.spec.MemoryGB
 		}
 	}
-	return int(min((cpus+1e-6)/t.spec.CPUs, (mem+1e-6)/t.spec.MemoryGB))
+	return int(min((cpus+1e-6)/job.spec.CPUs, (memoryGB+1e-6)/job.spec.MemoryGB))
 }
