--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -9,17 +9,18 @@
 	"mulleinfall/internal/model"
 )
 
-// Cloud stands in for the cloud.
+// Cloud simulates the cloud, which rents machines out and lists them.
 type Cloud struct {
 	sim          *Simulation
-	Unavailable  bool
-	machineCount int
-	rentals      map[string][]string
+	Unavailable  bool                // outage: every call gets 503
+	machineCount int                 // number of machines rented so far, for their names
+	rentals      map[string][]string // hosts rented by each request, by request name
 	machines     map[string]*rentedMachine
-	// BootTimeFactor multiplies boot times, 0 means 1.
+	// BootTimeFactor multiplies boot times. 0 means 1.
 	BootTimeFactor float64
 }
 
+// rentedMachine is a machine that is or was rented.
 type rentedMachine struct {
 	model.ListedMachine
 	rentedAt  time.Duration
@@ -27,89 +28,92 @@
 	removedAt time.Duration
 }
 
+// serve handles a call of a controller. A repeated rental request gets the hosts that
+// it got first. The list of machines is Options.ListLag old.
 func (c *Cloud) serve(call core.CloudCall) core.CloudResult {
-	d := core.CloudResult{CallID: call.CallID, Status: 200}
+	result := core.CloudResult{CallID: call.CallID, Status: 200}
 	if c.Unavailable {
-		d.Status = 503
-		return d
+		result.Status = 503
+		return result
 	}
 	switch call.Op {
 	case core.CloudTypes:
-		d.Types = c.sim.Options.Types
+		result.Types = c.sim.Options.Types
 	case core.CloudRent:
-		if old, ok := c.rentals[call.Request]; ok {
-			d.Hosts = old
-			return d
+		if hosts, ok := c.rentals[call.Request]; ok {
+			result.Hosts = hosts
+			return result
 		}
-		d.Hosts = c.Rent(call.Type, call.Zone, call.Spot, call.Count)
-		if len(d.Hosts) == 0 {
-			d.Status, d.Err = 503, "no capacity"
-			return d
+		result.Hosts = c.Rent(call.Type, call.Zone, call.Spot, call.Count)
+		if len(result.Hosts) == 0 {
+			result.Status, result.Err = 503, "no capacity"
+			return result
 		}
-		c.rentals[call.Request] = d.Hosts
+		c.rentals[call.Request] = result.Hosts
 	case core.CloudReturn:
-		for _, h := range call.Hosts {
-			c.RemoveMachine(h)
+		for _, host := range call.Hosts {
+			c.RemoveMachine(host)
 		}
 	case core.CloudList:
-		then := c.sim.Now - c.sim.Options.ListLag
-		for _, h := range sortedKeys(c.machines) {
-			m := c.machines[h]
-			if m.rentedAt > then || m.removed && m.removedAt <= then || h <= call.After {
+		listedAt := c.sim.Now - c.sim.Options.ListLag
+		for _, host := range sortedKeys(c.machines) {
+			machine := c.machines[host]
+			if machine.rentedAt > listedAt || machine.removed && machine.removedAt <= listedAt || host <= call.After {
 				continue
 			}
-			l := m.ListedMachine
-			l.State = "running"
-			l.AgeS = (then - m.rentedAt).Seconds()
-			if c.sim.Workers[l.Endpoint] == nil {
-				l.State = "starting"
+			listed := machine.ListedMachine
+			listed.State = "running"
+			listed.AgeS = (listedAt - machine.rentedAt).Seconds()
+			if c.sim.Workers[listed.Endpoint] == nil {
+				listed.State = "starting"
 			}
-			d.Listed = append(d.Listed, l)
+			result.Listed = append(result.Listed, listed)
 		}
-		sort.Slice(d.Listed, func(a, b int) bool { return d.Listed[a].Host < d.Listed[b].Host })
+		sort.Slice(result.Listed, func(a, b int) bool { return result.Listed[a].Host < result.Listed[b].Host })
 	}
-	return d
+	return result
 }
 
-// Rent boots machines, as the service's requests do.
-func (c *Cloud) Rent(typ, zone string, spot bool, n int) []string {
-	var t *model.MachineType
+// Rent rents up to the requested number of machines, as far as Options.Capacity
+// allows, and boots them. Boot times vary between 0.6 and 1.5 times the nominal one.
+func (c *Cloud) Rent(typeName, zone string, spot bool, requested int) []string {
+	var machineType *model.MachineType
 	for i := range c.sim.Options.Types {
-		if c.sim.Options.Types[i].Name == typ {
-			t = &c.sim.Options.Types[i]
+		if c.sim.Options.Types[i].Name == typeName {
+			machineType = &c.sim.Options.Types[i]
 		}
 	}
-	if t == nil {
+	if machineType == nil {
 		return nil
 	}
-	have := 0
-	for _, m := range c.machines {
-		if !m.removed && m.Type == typ && m.Zone == zone && m.Spot == spot {
-			have++
+	existing := 0
+	for _, machine := range c.machines {
+		if !machine.removed && machine.Type == typeName && machine.Zone == zone && machine.Spot == spot {
+			existing++
 		}
 	}
 	var hosts []string
-	for ; n > 0 && have < c.sim.Options.Capacity; n-- {
-		have++
+	for ; requested > 0 && existing < c.sim.Options.Capacity; requested-- {
+		existing++
 		c.machineCount++
-		h := fmt.Sprintf("n-%06d", c.machineCount)
-		m := &rentedMachine{ListedMachine: model.ListedMachine{Host: h, Endpoint: "w" + h, Type: typ, Zone: zone, Spot: spot}, rentedAt: c.sim.Now}
-		c.machines[h] = m
-		hosts = append(hosts, h)
-		boot := t.BootS * (0.6 + 0.9*c.sim.Rand.Float64())
+		host := fmt.Sprintf("n-%06d", c.machineCount)
+		machine := &rentedMachine{ListedMachine: model.ListedMachine{Host: host, Endpoint: "w" + host, Type: typeName, Zone: zone, Spot: spot}, rentedAt: c.sim.Now}
+		c.machines[host] = machine
+		hosts = append(hosts, host)
+		bootS := machineType.BootS * (0.6 + 0.9*c.sim.Rand.Float64())
 		if c.BootTimeFactor > 0 {
-			boot *= c.BootTimeFactor
+			bootS *= c.BootTimeFactor
 		}
-		c.sim.After(time.Duration(boot*float64(time.Second)), func() {
-			if !m.removed {
-				c.sim.startWorker(m.ListedMachine, t)
+		c.sim.After(time.Duration(bootS*float64(time.Second)), func() {
+			if !machine.removed {
+				c.sim.startWorker(machine.ListedMachine, machineType)
 			}
 		})
 	}
 	return hosts
 }
 
-// Reclaim takes a machine back after notice.
+// Reclaim gives the worker a reclaim notice and removes the machine when it ends.
 func (c *Cloud) Reclaim(host string, notice time.Duration) {
 	if wk := c.sim.Workers["w"+host]; wk != nil {
 		wk.reclaimAt, wk.hasChanges = c.sim.Now+notice, true
@@ -117,14 +121,14 @@
 	c.sim.After(notice, func() { c.RemoveMachine(host) })
 }
 
-// RemoveMachine ends a machine: returned by us, or taken back.
+// RemoveMachine ends a machine that the service has returned or the cloud reclaims.
 func (c *Cloud) RemoveMachine(host string) {
-	m := c.machines[host]
-	if m == nil || m.removed {
+	machine := c.machines[host]
+	if machine == nil || machine.removed {
 		return
 	}
-	m.removed, m.removedAt = true, c.sim.Now
-	if wk := c.sim.Workers[m.Endpoint]; wk != nil {
+	machine.removed, machine.removedAt = true, c.sim.Now
+	if wk := c.sim.Workers[machine.Endpoint]; wk != nil {
 		wk.stop()
 	}
 }
--- a/internal/sim/event_queue.go
+++ b/internal/sim/event_queue.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// The queue of what happens, by time.
-
+// event is a function that runs at a point of virtual time.
 type event struct {
 	at  time.Duration
-	seq uint64
+	seq uint64 // orders events of the same time as they were queued
 	run func()
 }
 
+// eventQueue is a heap of events by time. It implements heap.Interface.
 type eventQueue []event
 
-func (e eventQueue) Len() int { return len(e) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (e eventQueue) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].seq < e[b].seq
+func (q eventQueue) Less(a, b int) bool {
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].seq < q[b].seq
 }
 
-func (e eventQueue) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
-func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-func (e *eventQueue) Pop() any {
-	old := *e
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
