--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -7,150 +7,159 @@
 	"mulleinfall/internal/model"
 )
 
-// Users stand in for the users: they submit, poll and cancel.
+// Users simulates the users, who submit, poll and cancel jobs.
 type Users struct {
 	sim *Simulation
-	// ProbesAllControllers has users ask at all nodes within milliseconds, and submit again,
-	// after a job was accepted, cancelled or done.
+	// ProbesAllControllers makes users poll all controllers within milliseconds, and
+	// submit the job again, whenever a job is accepted, cancelled or done.
 	ProbesAllControllers bool
-	// StopsPollingAtEnd has users who were told a job's end not ask again.
+	// StopsPollingAtEnd makes users stop polling a job once its end is confirmed to
+	// them. Without it they poll once more.
 	StopsPollingAtEnd bool
-	// CancelAtEndFraction is the part of the jobs that is cancelled as its last task ends.
+	// CancelAtEndFraction is the fraction of jobs that users cancel just after the last
+	// task has ended.
 	CancelAtEndFraction float64
 }
 
-// jobEnded takes that a job's last task has just completed.
-func (u *Users) jobEnded(t *jobRecord) {
-	if t.cancelRequested || !t.accepted || u.CancelAtEndFraction == 0 || u.sim.Rand.Float64() >= u.CancelAtEndFraction {
+// jobEnded handles the completion of a job's last task: for a fraction
+// CancelAtEndFraction of the jobs, the user cancels the job within 300 ms.
+func (u *Users) jobEnded(job *jobRecord) {
+	if job.cancelRequested || !job.accepted || u.CancelAtEndFraction == 0 || u.sim.Rand.Float64() >= u.CancelAtEndFraction {
 		return
 	}
-	u.sim.After(time.Duration(u.sim.Rand.Int64N(int64(300*time.Millisecond))), func() { u.Cancel(t.spec.ID) })
+	u.sim.After(time.Duration(u.sim.Rand.Int64N(int64(300*time.Millisecond))), func() { u.Cancel(job.spec.ID) })
 }
 
-// probeAllControllers asks at all nodes at once and again after 5 and 40 ms, and
-// submits the job again.
-func (u *Users) probeAllControllers(t *jobRecord) {
+// probeAllControllers polls a job at every controller and submits it there again: at
+// once, after 5 ms and after 40 ms. It does nothing unless ProbesAllControllers is set.
+func (u *Users) probeAllControllers(job *jobRecord) {
 	if !u.ProbesAllControllers {
 		return
 	}
-	for _, n := range u.sim.Controllers {
-		for _, d := range []time.Duration{0, 5, 40} {
-			u.sim.After(d*time.Millisecond, func() {
-				asked := u.sim.Now
-				told := func(r core.Reply) { u.sim.Checker.checkReply(t, asked, r) }
-				u.sendRequestTo(n, func(req uint64) core.Event { return core.Poll{RequestID: req, ID: t.spec.ID} }, 2*time.Second, told)
-				u.sendRequestTo(n, u.submitEvent(t.spec), 5*time.Second, told)
+	for _, controller := range u.sim.Controllers {
+		for _, delayMs := range []time.Duration{0, 5, 40} {
+			u.sim.After(delayMs*time.Millisecond, func() {
+				askedAt := u.sim.Now
+				check := func(r core.Reply) { u.sim.Checker.checkReply(job, askedAt, r) }
+				u.sendRequestTo(controller, func(req uint64) core.Event { return core.Poll{RequestID: req, ID: job.spec.ID} }, 2*time.Second, check)
+				u.sendRequestTo(controller, u.submitEvent(job.spec), 5*time.Second, check)
 			})
 		}
 	}
 }
 
+// submitEvent returns a function that creates the event of a submission from its
+// request id.
 func (u *Users) submitEvent(spec model.Job) func(uint64) core.Event {
 	return func(req uint64) core.Event {
 		return core.Submit{RequestID: req, Job: spec, WallMs: u.sim.Now.Milliseconds() + 1e9}
 	}
 }
 
-// SubmitImpossible has a user submit a job that can never run; accepting it is
-// against the rules.
+// SubmitImpossible submits a job that can never run. It is a violation if the job is
+// accepted, or refused with 400 instead of 422.
 func (u *Users) SubmitImpossible(spec model.Job) {
 	u.sendRequest(u.submitEvent(spec), 5*time.Second, func(r core.Reply) {
 		if r.Status == 200 || r.Status == 201 || r.Status == 400 {
-			u.sim.Checker.reportViolation("accepted", "%s, which can never run, is answered %d", spec.ID, r.Status)
+			u.sim.Checker.reportViolation("accepted", "%s, which can never run: got status %d, want 422", spec.ID, r.Status)
 		}
 	})
 }
 
-// Submit has a user submit a job now whose tasks really run for runTime, and
-// follow it to its end.
+// Submit submits a job, whose tasks run for runTime, and polls it until its end.
 func (u *Users) Submit(spec model.Job, runTime time.Duration) { u.SubmitStaggered(spec, runTime, 0) }
 
-// SubmitStaggered is Submit for a job each of whose tasks takes step longer than
-// the one before.
+// SubmitStaggered is like Submit, but each task runs for step longer than the one
+// before it. Users retry a submission every second for up to 60 s.
 func (u *Users) SubmitStaggered(spec model.Job, runTime, step time.Duration) {
-	w := u.sim
-	t := w.Checker.addJob(spec, runTime)
-	t.runTimeStep = step
-	t.submittedAt = w.Now
-	give := w.Now + 60*time.Second
-	var try func()
-	try = func() {
-		if w.Now >= give || t.accepted {
+	sim := u.sim
+	job := sim.Checker.addJob(spec, runTime)
+	job.runTimeStep = step
+	job.submittedAt = sim.Now
+	giveUpAt := sim.Now + 60*time.Second
+	var trySubmit func()
+	trySubmit = func() {
+		if sim.Now >= giveUpAt || job.accepted {
 			return
 		}
-		asked := w.Now
+		askedAt := sim.Now
 		submit := u.submitEvent(spec)
-		w.maybeRepeat(func() { u.sendRequest(submit, 5*time.Second, func(core.Reply) {}) })
+		sim.maybeRepeat(func() { u.sendRequest(submit, 5*time.Second, func(core.Reply) {}) })
 		u.sendRequest(submit, 5*time.Second, func(r core.Reply) {
-			w.Checker.checkReply(t, asked, r)
+			sim.Checker.checkReply(job, askedAt, r)
 			if r.Status == 200 || r.Status == 201 {
-				t.accepted, t.acceptedAt = true, w.Now
-				u.probeAllControllers(t)
-				u.poll(t)
+				job.accepted, job.acceptedAt = true, sim.Now
+				u.probeAllControllers(job)
+				u.poll(job)
 				return
 			}
 			if r.Status == 400 || r.Status == 422 {
 				return
 			}
-			w.After(time.Second, try)
+			sim.After(time.Second, trySubmit)
 		})
 	}
-	try()
+	trySubmit()
 }
 
-func (u *Users) poll(t *jobRecord) {
-	wait := 5 * time.Second
-	over := t.confirmedDone || t.cancelConfirmedAt != 0
-	if over && u.StopsPollingAtEnd {
+// poll polls a job every 5 s until its end is confirmed, and once more 20 s later.
+func (u *Users) poll(job *jobRecord) {
+	delay := 5 * time.Second
+	hasEnded := job.confirmedDone || job.cancelConfirmedAt != 0
+	if hasEnded && u.StopsPollingAtEnd {
 		return
 	}
-	if over {
-		wait = 20 * time.Second // now and then somebody looks again: the answer must stay
+	if hasEnded {
+		delay = 20 * time.Second // the answer must still be the same
 	}
-	u.sim.After(wait, func() {
-		asked := u.sim.Now
-		u.pollOnce(t.spec.ID, func(r core.Reply) { u.sim.Checker.checkReply(t, asked, r) })
-		if !over {
-			u.poll(t)
+	u.sim.After(delay, func() {
+		askedAt := u.sim.Now
+		u.pollOnce(job.spec.ID, func(r core.Reply) { u.sim.Checker.checkReply(job, askedAt, r) })
+		if !hasEnded {
+			u.poll(job)
 		}
 	})
 }
 
+// pollOnce polls a job at a random controller.
 func (u *Users) pollOnce(id string, f func(core.Reply)) {
 	u.sendRequest(func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, 2*time.Second, f)
 }
 
-// Cancel has the user cancel a job.
+// Cancel cancels a job through random controllers.
 func (u *Users) Cancel(id string) { u.CancelVia(id, nil) }
 
-// CancelVia has the user cancel a job by way of node first, then of any.
-func (u *Users) CancelVia(id string, node *Controller) {
-	t := u.sim.Checker.jobs[id]
-	t.cancelRequested = true
-	var try func()
-	try = func() {
-		if t.cancelConfirmedAt != 0 || t.confirmedDone {
+// CancelVia cancels a job. The first request goes to the given controller (nil: a
+// random one), retries go to random ones. The user retries every second until a request
+// succeeds or the end of the job is confirmed.
+func (u *Users) CancelVia(id string, controller *Controller) {
+	job := u.sim.Checker.jobs[id]
+	job.cancelRequested = true
+	var tryCancel func()
+	tryCancel = func() {
+		if job.cancelConfirmedAt != 0 || job.confirmedDone {
 			return
 		}
-		asked := u.sim.Now
-		withdraw := func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }
-		u.sim.maybeRepeat(func() { u.sendRequest(withdraw, 5*time.Second, func(core.Reply) {}) })
-		first := node
-		node = nil
-		u.sendRequestTo(first, withdraw, 5*time.Second, func(r core.Reply) {
-			if r.Status == 404 && !t.accepted {
+		askedAt := u.sim.Now
+		newEvent := func(req uint64) core.Event { return core.Cancel{RequestID: req, ID: id} }
+		u.sim.maybeRepeat(func() { u.sendRequest(newEvent, 5*time.Second, func(core.Reply) {}) })
+		first := controller
+		controller = nil
+		u.sendRequestTo(first, newEvent, 5*time.Second, func(r core.Reply) {
+			if r.Status == 404 && !job.accepted {
 				return
 			}
-			u.sim.Checker.checkReply(t, asked, r)
+			u.sim.Checker.checkReply(job, askedAt, r)
 			if r.Status != 200 {
-				u.sim.After(time.Second, try)
+				u.sim.After(time.Second, tryCancel)
 			}
 		})
 	}
-	try()
+	tryCancel()
 }
 
-// PollUnknown asks about a job that nobody submitted.
+// PollUnknown polls a job that was never submitted. It is a violation if the answer
+// is 200.
 func (u *Users) PollUnknown(id string) {
 	u.pollOnce(id, func(r core.Reply) {
 		if r.Status == 200 {
@@ -159,24 +168,25 @@
 	})
 }
 
-// sendRequest sends a request to some node, with a time limit.
-func (u *Users) sendRequest(make_ func(uint64) core.Event, limit time.Duration, f func(core.Reply)) {
-	u.sendRequestTo(nil, make_, limit, f)
+// sendRequest sends a request to a random controller. See sendRequestTo.
+func (u *Users) sendRequest(newEvent func(uint64) core.Event, timeout time.Duration, f func(core.Reply)) {
+	u.sendRequestTo(nil, newEvent, timeout, f)
 }
 
-// sendRequestTo sends it to n, or to some node if n is nil.
-func (u *Users) sendRequestTo(n *Controller, make_ func(uint64) core.Event, limit time.Duration, f func(core.Reply)) {
-	w := u.sim
-	if n == nil {
-		n = w.Controllers[w.Rand.IntN(len(w.Controllers))]
+// sendRequestTo sends a request to a controller, or to a random one if controller is nil, and
+// passes the reply to f. The reply is empty after the timeout.
+func (u *Users) sendRequestTo(controller *Controller, newEvent func(uint64) core.Event, timeout time.Duration, f func(core.Reply)) {
+	sim := u.sim
+	if controller == nil {
+		controller = sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
 	}
-	over := false
-	end := func(r core.Reply) {
-		if !over {
-			over = true
+	isAnswered := false
+	finish := func(r core.Reply) {
+		if !isAnswered {
+			isAnswered = true
 			f(r)
 		}
 	}
-	n.sendRequest("users", make_, end)
-	w.After(limit, func() { end(core.Reply{}) })
+	controller.sendRequest("users", newEvent, finish)
+	sim.After(timeout, func() { finish(core.Reply{}) })
 }
