--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -6,48 +6,49 @@
 	"mulleinfall/internal/model"
 )
 
-// gangAttempt is one attempt of a gang, as its tasks see one another.
+// gangAttempt is one attempt of a gang with the state that its tasks share.
 type gangAttempt struct {
 	job        *jobRecord
 	attempt    uint64
-	members    map[string]*Worker // tasks that have their image, and where
+	members    map[string]*Worker // machines of the tasks that have their image, by task name
 	started    bool
-	startedAt  time.Duration // of the start
-	killedAt   time.Duration // first stop with time to save; 0: none
+	startedAt  time.Duration // when all tasks started
+	killedAt   time.Duration // first stop order with time to save; 0: none
 	savedTasks map[string]bool
-	brokenAt   time.Duration // a task is gone, or was stopped at once; 0: not
-	settled    bool          // its progress has been settled
+	brokenAt   time.Duration // when a task was lost or stopped without saving; 0: not yet
+	settled    bool          // the attempt has completed, saved or lost its unsaved progress
 }
 
-func (t *jobRecord) gangAttemptFor(attempt uint64) *gangAttempt {
-	g := t.gangAttempts[attempt]
+// gangAttemptFor returns an attempt of the gang, which it creates on first use.
+func (j *jobRecord) gangAttemptFor(attempt uint64) *gangAttempt {
+	g := j.gangAttempts[attempt]
 	if g == nil {
-		g = &gangAttempt{job: t, attempt: attempt, members: map[string]*Worker{}, savedTasks: map[string]bool{}}
-		t.gangAttempts[attempt] = g
+		g = &gangAttempt{job: j, attempt: attempt, members: map[string]*Worker{}, savedTasks: map[string]bool{}}
+		j.gangAttempts[attempt] = g
 	}
 	return g
 }
 
-// taskReady takes that a task has its image: it waits, and the last one starts
-// all of them.
+// taskReady handles that a task has its image. The task waits until all tasks of the
+// gang are ready; the last one starts them all.
 func (g *gangAttempt) taskReady(name string, wk *Worker) {
-	w := wk.sim
+	sim := wk.sim
 	g.members[name] = wk
 	if len(g.members) < g.job.spec.Tasks || g.started {
 		return
 	}
-	g.started, g.startedAt = true, w.Now
-	w.tracef("gang %s attempt %d starts", g.job.spec.ID, g.attempt)
+	g.started, g.startedAt = true, sim.Now
+	sim.tracef("gang %s attempt %d starts", g.job.spec.ID, g.attempt)
 	for _, task := range sortedKeys(g.members) {
-		m := g.members[task]
-		if r := m.tasks[task]; r != nil && r.state == model.TaskGathering {
-			r.state, m.hasChanges = model.TaskRunning, true
-			r.endsAt = w.Now + g.job.runTime - g.job.savedProgress
+		member := g.members[task]
+		if run := member.tasks[task]; run != nil && run.state == model.TaskGathering {
+			run.state, member.hasChanges = model.TaskRunning, true
+			run.endsAt = sim.Now + g.job.runTime - g.job.savedProgress
 		}
 	}
 }
 
-// taskGone takes that a task is gone from its machine.
+// taskGone handles that a task is gone from its machine.
 func (g *gangAttempt) taskGone(name string, now time.Duration) {
 	delete(g.members, name)
 	if g.started && g.brokenAt == 0 && !g.settled {
@@ -56,8 +57,8 @@
 	}
 }
 
-// settleProgress fixes the progress of an attempt that has ended without saving: what
-// its last checkpoint holds.
+// settleProgress records the progress of an attempt that has ended without saving on
+// the stop order. That is the progress at its last regular checkpoint.
 func (g *gangAttempt) settleProgress(now time.Duration) {
 	if g.settled {
 		return
@@ -67,91 +68,97 @@
 		now = g.killedAt
 	}
 	reached := g.job.savedProgress + now - g.startedAt
-	if every := time.Duration(g.job.spec.CheckpointEveryS * float64(time.Second)); every > 0 {
-		g.job.savedProgress = max(g.job.savedProgress, reached/every*every)
+	if checkpointInterval := time.Duration(g.job.spec.CheckpointEveryS * float64(time.Second)); checkpointInterval > 0 {
+		g.job.savedProgress = max(g.job.savedProgress, reached/checkpointInterval*checkpointInterval)
 	}
 }
 
-// advanceGangTask moves a gang's task along that has its image.
-func (wk *Worker) advanceGangTask(name string, r *taskRun, t *jobRecord) {
-	g := t.gangAttemptFor(r.attempt)
-	for _, m := range g.members { // a machine that hangs is noticed as well
-		if g.started && m.Paused && g.brokenAt == 0 && !g.settled {
+// advanceGangTask changes the state of a gang's task that has its image, if its time
+// has come.
+func (wk *Worker) advanceGangTask(name string, run *taskRun, job *jobRecord) {
+	g := job.gangAttemptFor(run.attempt)
+	for _, member := range g.members { // a paused member breaks the gang, too
+		if g.started && member.Paused && g.brokenAt == 0 && !g.settled {
 			g.brokenAt = wk.sim.Now
 			g.settleProgress(wk.sim.Now)
 		}
 	}
-	switch r.state {
+	switch run.state {
 	case model.TaskGathering:
-		if wk.sim.Now >= r.startedAt+wk.sim.Options.Config.GangWaitTimeout {
-			wk.exitTask(name, r, model.CauseGangIncomplete)
+		if wk.sim.Now >= run.startedAt+wk.sim.Options.Config.GangWaitTimeout {
+			wk.exitTask(name, run, model.CauseGangIncomplete)
 		}
 	case model.TaskRunning:
-		wk.advanceRunningGangTask(name, r, g)
+		wk.advanceRunningGangTask(name, run, g)
 	case model.TaskSaving:
-		wk.advanceSavingGangTask(name, r, g)
+		wk.advanceSavingGangTask(name, run, g)
 	}
 }
 
-// hasLostPeers says whether a task has noticed by now that another is gone, or that
-// it wasn't told of a stop in time.
-func (g *gangAttempt) hasLostPeers(now, peer time.Duration) bool {
-	return g.brokenAt != 0 && now >= g.brokenAt+peer/2 || g.killedAt != 0 && now >= g.killedAt+peer
+// hasLostPeers reports whether the tasks have noticed by now that the attempt has
+// failed: half of peerTimeout after one of them was lost, or peerTimeout after the first
+// stop order if not all have saved by then.
+func (g *gangAttempt) hasLostPeers(now, peerTimeout time.Duration) bool {
+	return g.brokenAt != 0 && now >= g.brokenAt+peerTimeout/2 || g.killedAt != 0 && now >= g.killedAt+peerTimeout
 }
 
-// advanceRunningGangTask completes a gang, or ends a task that is left behind.
-func (wk *Worker) advanceRunningGangTask(name string, r *taskRun, g *gangAttempt) {
-	w, t := wk.sim, g.job
+// advanceRunningGangTask completes the gang when its time has come, or ends a task that
+// has lost its peers.
+func (wk *Worker) advanceRunningGangTask(name string, run *taskRun, g *gangAttempt) {
+	sim, job := wk.sim, g.job
 	switch {
-	case t.doneTasks[name]:
-		wk.exitTask(name, r, model.CauseDone)
-	case g.hasLostPeers(w.Now, w.Options.Config.GangPeerTimeout):
-		wk.exitTask(name, r, model.CausePeerLost)
-	case g.killedAt == 0 && g.brokenAt == 0 && w.Now >= r.endsAt:
+	case job.doneTasks[name]:
+		wk.exitTask(name, run, model.CauseDone)
+	case g.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
+		wk.exitTask(name, run, model.CausePeerLost)
+	case g.killedAt == 0 && g.brokenAt == 0 && sim.Now >= run.endsAt:
 		g.settled = true
-		for i := range t.spec.Tasks {
-			t.doneTasks[model.TaskName(t.spec.ID, i)] = true
+		for i := range job.spec.Tasks {
+			job.doneTasks[model.TaskName(job.spec.ID, i)] = true
 		}
-		w.tracef("gang %s attempt %d is done", t.spec.ID, g.attempt)
-		wk.exitTask(name, r, model.CauseDone)
+		sim.tracef("gang %s attempt %d is done", job.spec.ID, g.attempt)
+		wk.exitTask(name, run, model.CauseDone)
 	}
 }
 
-// advanceSavingGangTask ends a task once all have saved, or can't.
-func (wk *Worker) advanceSavingGangTask(name string, r *taskRun, g *gangAttempt) {
-	w, t := wk.sim, g.job
-	if w.Now >= r.endsAt {
+// advanceSavingGangTask ends a task once all tasks have saved, or when it has lost its
+// peers.
+func (wk *Worker) advanceSavingGangTask(name string, run *taskRun, g *gangAttempt) {
+	sim, job := wk.sim, g.job
+	if sim.Now >= run.endsAt {
 		g.savedTasks[name] = true
 	}
-	if len(g.savedTasks) == t.spec.Tasks && g.brokenAt == 0 && !g.settled {
+	if len(g.savedTasks) == job.spec.Tasks && g.brokenAt == 0 && !g.settled {
 		g.settled = true
-		t.savedProgress += g.killedAt - g.startedAt
-		w.tracef("gang %s attempt %d has saved %v", t.spec.ID, g.attempt, t.savedProgress)
+		job.savedProgress += g.killedAt - g.startedAt
+		sim.tracef("gang %s attempt %d has saved %v", job.spec.ID, g.attempt, job.savedProgress)
 	}
 	switch {
-	case r.saved, g.settled && g.brokenAt == 0:
-		r.saved = true
-		wk.exitTask(name, r, model.CauseStopped)
-	case g.hasLostPeers(w.Now, w.Options.Config.GangPeerTimeout):
-		g.settleProgress(w.Now)
-		wk.exitTask(name, r, model.CausePeerLost)
+	case run.saved, g.settled && g.brokenAt == 0:
+		run.saved = true
+		wk.exitTask(name, run, model.CauseStopped)
+	case g.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
+		g.settleProgress(sim.Now)
+		wk.exitTask(name, run, model.CausePeerLost)
 	}
 }
 
-// stopGangTask is a kill of a gang's task that has its image.
-func (wk *Worker) stopGangTask(name string, r *taskRun, t *jobRecord, grace *float64) {
-	w, g := wk.sim, t.gangAttemptFor(r.attempt)
-	if r.state == model.TaskRunning && t.spec.CheckpointEveryS > 0 && grace != nil && *grace >= t.spec.CheckpointCostS {
+// stopGangTask stops a gang's task that has its image. A running task with checkpoints
+// saves first if the grace period is long enough and the first stop order for the gang
+// came at most GangPeerTimeout ago.
+func (wk *Worker) stopGangTask(name string, run *taskRun, job *jobRecord, graceS *float64) {
+	sim, g := wk.sim, job.gangAttemptFor(run.attempt)
+	if run.state == model.TaskRunning && job.spec.CheckpointEveryS > 0 && graceS != nil && *graceS >= job.spec.CheckpointCostS {
 		if g.killedAt == 0 {
-			g.killedAt = w.Now
+			g.killedAt = sim.Now
 		}
-		if w.Now <= g.killedAt+w.Options.Config.GangPeerTimeout {
-			r.state, r.endsAt, wk.hasChanges = model.TaskSaving, w.Now+time.Duration(t.spec.CheckpointCostS*float64(time.Second)), true
+		if sim.Now <= g.killedAt+sim.Options.Config.GangPeerTimeout {
+			run.state, run.endsAt, wk.hasChanges = model.TaskSaving, sim.Now+time.Duration(job.spec.CheckpointCostS*float64(time.Second)), true
 			return
 		}
 	}
-	if r.state == model.TaskSaving && (grace == nil || *grace > 0) {
+	if run.state == model.TaskSaving && (graceS == nil || *graceS > 0) {
 		return
 	}
-	wk.exitTask(name, r, model.CauseStopped)
+	wk.exitTask(name, run, model.CauseStopped)
 }
--- a/internal/sim/worker_reports.go
+++ b/internal/sim/worker_reports.go
@@ -7,108 +7,114 @@
 	"mulleinfall/internal/model"
 )
 
-// A worker's reports and what it does with the answers.
+// This file simulates the reports of a worker and how it handles the answers.
 
+// nextReport creates a report with the next sequence number.
 func (wk *Worker) nextReport() model.Report {
 	wk.seq++
-	rep := model.Report{Host: wk.info.Host, Endpoint: wk.info.Endpoint, Type: wk.info.Type, Zone: wk.info.Zone, Spot: wk.info.Spot,
+	report := model.Report{Host: wk.info.Host, Endpoint: wk.info.Endpoint, Type: wk.info.Type, Zone: wk.info.Zone, Spot: wk.info.Spot,
 		Session: wk.session, Seq: wk.seq, Epoch: wk.epoch}
 	if wk.reclaimAt != 0 {
 		left := (wk.reclaimAt - wk.sim.Now).Seconds()
-		rep.ReclaimInS = &left
+		report.ReclaimInS = &left
 	}
 	for _, name := range sortedKeys(wk.tasks) {
-		r := wk.tasks[name]
-		rep.Tasks = append(rep.Tasks, model.TaskReport{Task: name, Attempt: r.attempt, State: r.state, Cause: r.cause, Saved: r.saved})
+		run := wk.tasks[name]
+		report.Tasks = append(report.Tasks, model.TaskReport{Task: name, Attempt: run.attempt, State: run.state, Cause: run.cause, Saved: run.saved})
 	}
-	return rep
+	return report
 }
 
-// sendReport sends a report.
+// sendReport sends a report to the current target controller. The next one is due after
+// 0.75 to 1.25 report intervals. Without an answer within 4 s the worker turns to the
+// next controller.
 func (wk *Worker) sendReport() {
-	w := wk.sim
+	sim := wk.sim
 	wk.hasChanges = false
 	wk.reportCount++
 	number := wk.reportCount
-	wk.reportInFlight, wk.lastReportAt = number, w.Now
-	every := w.Options.Config.ReportInterval
-	wk.nextReportAt = w.Now + every*3/4 + time.Duration(w.Rand.Int64N(int64(every/2)))
-	sent, session := w.Now, wk.session
-	rep := wk.nextReport()
-	node := w.Controllers[wk.targetController]
-	wk.scheduleReportCopies(rep)
+	wk.reportInFlight, wk.lastReportAt = number, sim.Now
+	interval := sim.Options.Config.ReportInterval
+	wk.nextReportAt = sim.Now + interval*3/4 + time.Duration(sim.Rand.Int64N(int64(interval/2)))
+	sentAt, session := sim.Now, wk.session
+	report := wk.nextReport()
+	controller := sim.Controllers[wk.targetController]
+	wk.scheduleReportCopies(report)
 	if wk.CannotReport {
 		wk.retargetAfter(time.Second, wk.nextController())
 		return
 	}
-	node.sendRequest(wk.info.Endpoint, func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: rep} }, func(r core.Reply) {
+	controller.sendRequest(wk.info.Endpoint, func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: report} }, func(r core.Reply) {
 		if wk.stopped || wk.reportInFlight != number {
-			return // given up: dropped
+			return // the worker has stopped waiting for this answer
 		}
 		if wk.ReportAnswersLost {
-			wk.retargetAfter(time.Second, wk.nextController()) // the connection broke
+			wk.retargetAfter(time.Second, wk.nextController()) // the answer was lost with the connection
 			return
 		}
 		if wk.Paused || wk.CannotReceive {
-			return // the time limit below moves it on
+			return // the timeout below ends the wait
 		}
-		wk.handleReportReply(node, sent, session, r)
+		wk.handleReportReply(controller, sentAt, session, r)
 	})
-	w.After(4*time.Second, func() {
+	sim.After(4*time.Second, func() {
 		if wk.reportInFlight == number {
 			wk.retargetAfter(time.Second, wk.nextController())
 		}
 	})
 }
 
-// scheduleReportCopies has copies of a report come late, if the day wants that.
-func (wk *Worker) scheduleReportCopies(rep model.Report) {
-	w := wk.sim
-	if w.LateReportCopyFraction > 0 && w.Rand.Float64() < w.LateReportCopyFraction {
-		// To whichever controller.
-		to := w.Controllers[w.Rand.IntN(len(w.Controllers))]
-		w.After(time.Second+time.Duration(w.Rand.Int64N(int64(3*w.Options.Config.Lease))), func() {
-			to.sendRequest("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: rep} }, func(core.Reply) {})
+// scheduleReportCopies makes copies of a report arrive later, for the fractions of
+// reports that are set in the simulation. A late copy reaches a random controller after
+// 1 s plus up to three leases.
+func (wk *Worker) scheduleReportCopies(report model.Report) {
+	sim := wk.sim
+	if sim.LateReportCopyFraction > 0 && sim.Rand.Float64() < sim.LateReportCopyFraction {
+		target := sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
+		sim.After(time.Second+time.Duration(sim.Rand.Int64N(int64(3*sim.Options.Config.Lease))), func() {
+			target.sendRequest("copy", func(req uint64) core.Event { return core.WorkerReport{RequestID: req, Report: report} }, func(core.Reply) {})
 		})
 	}
-	if w.NextLeaderCopyFraction > 0 && w.Rand.Float64() < w.NextLeaderCopyFraction {
-		w.reportsForNextLeader = append(w.reportsForNextLeader, rep)
+	if sim.NextLeaderCopyFraction > 0 && sim.Rand.Float64() < sim.NextLeaderCopyFraction {
+		sim.reportsForNextLeader = append(sim.reportsForNextLeader, report)
 	}
 }
 
-// nextController is the controller after the one that it reports to.
+// nextController returns the index of the controller after the current target.
 func (wk *Worker) nextController() int { return (wk.targetController + 1) % len(wk.sim.Controllers) }
 
-// retargetAfter sends the next report to a controller, after a while.
-func (wk *Worker) retargetAfter(wait time.Duration, target int) {
+// retargetAfter makes the worker send its next report to the target after the delay.
+func (wk *Worker) retargetAfter(delay time.Duration, target int) {
 	wk.reportInFlight = 0
 	wk.targetController = target
-	wk.nextReportAt = wk.sim.Now + wait
+	wk.nextReportAt = wk.sim.Now + delay
 }
 
-// handleReportReply takes a controller's answer to a report.
-func (wk *Worker) handleReportReply(node *Controller, sent time.Duration, session uint64, r core.Reply) {
-	w := wk.sim
-	switch r.Status {
+// handleReportReply handles the answer to a report: 200 renews the lease and carries
+// orders, 421 names the leader, and on any other status the worker turns to the next
+// controller.
+func (wk *Worker) handleReportReply(controller *Controller, sentAt time.Duration, session uint64, reply core.Reply) {
+	sim := wk.sim
+	switch reply.Status {
 	case 200:
 		wk.reportInFlight = 0
-		body := r.Body.(core.ReportReply)
+		body := reply.Body.(core.ReportReply)
 		if session != wk.session || body.Epoch < wk.epoch || body.Epoch == 0 {
 			return
 		}
 		wk.raiseEpoch(body.Epoch)
-		wk.leaseStartedAt = max(wk.leaseStartedAt, sent)
+		wk.leaseStartedAt = max(wk.leaseStartedAt, sentAt)
 		wk.executeOrders(body.Orders)
 	case 421:
-		to, wait := wk.nextController(), time.Second
-		if red, ok := r.Body.(core.Redirect); ok && red.Leader != "" && red.Leader != node.Name {
-			for i, o := range w.Controllers {
-				if o.Name == red.Leader {
-					to, wait = i, time.Duration(w.Rand.Int64N(int64(500*time.Millisecond)))
+		target, delay := wk.nextController(), time.Second
+		if redirect, ok := reply.Body.(core.Redirect); ok && redirect.Leader != "" && redirect.Leader != controller.Name {
+			for i, other := range sim.Controllers {
+				if other.Name == redirect.Leader {
+					target, delay = i, time.Duration(sim.Rand.Int64N(int64(500*time.Millisecond)))
 				}
 			}
 		}
-		wk.retargetAfter(wait, to)
+		wk.retargetAfter(delay, target)
 	default:
 		wk.retargetAfter(time.Second, wk.nextController())
 	}
