--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -8,192 +8,201 @@
 	"mulleinfall/internal/model"
 )
 
-// Checker watches the rules of the protocol, knowing what really happened.
+// Checker checks the rules of the protocol against what really happened in the
+// simulation.
 type Checker struct {
-	sim        *Simulation
-	jobs       map[string]*jobRecord
+	sim  *Simulation
+	jobs map[string]*jobRecord
+	// Violations are the violations found, each with its time, rule and details.
 	Violations []string
 	TaskStarts int
 	JobsDone   int
-	// StartsAfterCancellation counts tasks that began after their job was confirmed as
-	// cancelled.
+	// StartsAfterCancellation counts tasks that started after the cancellation of their
+	// job was confirmed to its user.
 	StartsAfterCancellation int
-	// CancelledTasksStopped counts tasks that were on a machine when their job's user was told
-	// that it is cancelled. LeastMargin is the least time that was left of what is
-	// allowed when such a task had gone, LeastMarginTask that task ("": none yet).
+	// CancelledTasksStopped counts tasks that stopped after the cancellation of their
+	// job was confirmed. LeastMargin is the smallest time that remained of CancelWithin
+	// when such a task stopped, and LeastMarginTask is that task ("" if there is none).
 	CancelledTasksStopped int
 	LeastMargin           time.Duration
 	LeastMarginTask       string
 }
 
-// jobRecord is what really became of a job.
+// jobRecord records what really happened to a job.
 type jobRecord struct {
 	spec               model.Job
 	runTime            time.Duration
-	runTimeStep        time.Duration // by which each task takes longer than the one before
+	runTimeStep        time.Duration // how much longer each task runs than the one before
 	accepted           bool
 	acceptedAt         time.Duration
-	savedProgress      time.Duration // of a gang, saved
+	savedProgress      time.Duration // of a gang: progress in its last checkpoint
 	gangAttempts       map[uint64]*gangAttempt
-	waitedWithCapacity time.Duration // for how long it has waited beside room for it
-	submittedAt        time.Duration // first attempt to submit
-	firstStartedAt     time.Duration // first start of a task; 0: none
-	cancelRequested    bool          // its user asked to cancel it
+	waitedWithCapacity time.Duration // how long it has been waiting although there is capacity for it
+	submittedAt        time.Duration // first submission
+	firstStartedAt     time.Duration // first start of a task; 0: none yet
+	cancelRequested    bool          // its user has requested its cancellation
 	doneTasks          map[string]bool
 	runningOn          map[string]*Worker
 	confirmedDone      bool
-	endConfirmedAt     time.Duration // when it was first told done or cancelled
+	endConfirmedAt     time.Duration // when its user was first told that it is done or cancelled
 	cancelConfirmedAt  time.Duration
 }
 
+// reportViolation records a violation of a rule.
 func (c *Checker) reportViolation(rule, format string, args ...any) {
 	line := rule + ": " + fmt.Sprintf(format, args...)
 	c.sim.tracef("BROKEN %s", line)
 	c.Violations = append(c.Violations, fmt.Sprintf("%.3f %s", c.sim.Now.Seconds(), line))
 }
 
+// addJob adds a job at its first submission.
 func (c *Checker) addJob(spec model.Job, runTime time.Duration) *jobRecord {
-	t := &jobRecord{spec: spec, runTime: runTime, doneTasks: map[string]bool{}, runningOn: map[string]*Worker{}, gangAttempts: map[uint64]*gangAttempt{}}
-	c.jobs[spec.ID] = t
-	return t
+	job := &jobRecord{spec: spec, runTime: runTime, doneTasks: map[string]bool{}, runningOn: map[string]*Worker{}, gangAttempts: map[uint64]*gangAttempt{}}
+	c.jobs[spec.ID] = job
+	return job
 }
 
+// jobOf returns the job of a task, or nil if it was never submitted.
 func (c *Checker) jobOf(task string) *jobRecord {
 	id, _, _ := model.ParseTaskName(task)
 	return c.jobs[id]
 }
 
-// taskStarted notes that a task is on a machine from now.
-func (c *Checker) taskStarted(task string, wk *Worker, r *taskRun) {
-	t := c.jobOf(task)
+// taskStarted records that a task has started on a machine, and checks that it may run
+// there and now.
+func (c *Checker) taskStarted(task string, wk *Worker, run *taskRun) {
+	job := c.jobOf(task)
 	c.TaskStarts++
-	c.sim.tracef("task %s attempt %d runs on %s", task, r.attempt, wk.info.Host)
-	if o := t.runningOn[task]; o != nil {
-		c.reportViolation("ran_twice", "%s on %s and %s", task, o.info.Host, wk.info.Host)
+	c.sim.tracef("task %s attempt %d runs on %s", task, run.attempt, wk.info.Host)
+	if other := job.runningOn[task]; other != nil {
+		c.reportViolation("ran_twice", "%s on %s and %s", task, other.info.Host, wk.info.Host)
 	}
-	j := &t.spec
-	if !j.AllowsType(wk.info.Type) || j.Zone != "" && j.Zone != wk.info.Zone || wk.info.Spot && !j.Spot {
+	spec := &job.spec
+	if !spec.AllowsType(wk.info.Type) || spec.Zone != "" && spec.Zone != wk.info.Zone || wk.info.Spot && !spec.Spot {
 		c.reportViolation("wrong_place", "%s on %s", task, wk.info.Host)
 	}
-	here := 1
-	for _, o := range t.runningOn {
-		if o.info.Zone == wk.info.Zone {
-			here++
-		} else if j.OneZone {
-			c.reportViolation("wrong_place", "%s in %s, others in %s", task, wk.info.Zone, o.info.Zone)
+	inZone := 1
+	for _, other := range job.runningOn {
+		if other.info.Zone == wk.info.Zone {
+			inZone++
+		} else if spec.OneZone {
+			c.reportViolation("wrong_place", "%s in %s, other tasks in %s", task, wk.info.Zone, other.info.Zone)
 		}
 	}
-	if j.Spread && here > j.MaxTasksPerZone() {
-		c.reportViolation("wrong_place", "%d of %s in %s", here, j.ID, wk.info.Zone)
+	if spec.Spread && inZone > spec.MaxTasksPerZone() {
+		c.reportViolation("wrong_place", "%d tasks of %s in %s", inZone, spec.ID, wk.info.Zone)
 	}
-	if t.cancelConfirmedAt != 0 && c.sim.Now > t.cancelConfirmedAt+c.sim.Options.Config.CancelWithin {
+	if job.cancelConfirmedAt != 0 && c.sim.Now > job.cancelConfirmedAt+c.sim.Options.Config.CancelWithin {
 		c.reportViolation("ran_cancelled", "%s starts", task)
 	}
-	if t.cancelConfirmedAt != 0 {
+	if job.cancelConfirmedAt != 0 {
 		c.StartsAfterCancellation++
-		// A start on its way, to a machine that hangs too, can come later than the
-		// confirmation; but nobody may send one once the stalest view is over.
-		if limit := c.sim.Options.Config.CancelWithin - c.sim.Options.Config.Lease; c.sim.Now > t.cancelConfirmedAt+limit {
-			c.reportViolation("late_start", "%s starts, confirmed as cancelled at %v", task, t.cancelConfirmedAt)
+		// A start order sent before the confirmation can arrive after it, also at a
+		// machine that was paused. CancelWithin - Lease after the confirmation no
+		// leader's view of the state may be old enough to miss the cancellation, so no
+		// task may start any more.
+		if limit := c.sim.Options.Config.CancelWithin - c.sim.Options.Config.Lease; c.sim.Now > job.cancelConfirmedAt+limit {
+			c.reportViolation("late_start", "%s starts, its cancellation was confirmed at %v", task, job.cancelConfirmedAt)
 		}
 	}
-	t.runningOn[task] = wk
-	if t.firstStartedAt == 0 {
-		t.firstStartedAt = c.sim.Now
+	job.runningOn[task] = wk
+	if job.firstStartedAt == 0 {
+		job.firstStartedAt = c.sim.Now
 	}
-	c.checkQuota(j.Team)
+	c.checkQuota(spec.Team)
 }
 
+// checkQuota checks that a team's running tasks are within its limit.
 func (c *Checker) checkQuota(team string) {
-	lim := c.sim.Options.Config.Teams[team].Limit
-	if lim.CPUs == 0 {
+	limit := c.sim.Options.Config.Teams[team].Limit
+	if limit.CPUs == 0 {
 		return
 	}
 	used := 0.0
-	for _, t := range c.jobs {
-		if t.spec.Team == team {
-			used += float64(len(t.runningOn)) * t.spec.CPUs
+	for _, job := range c.jobs {
+		if job.spec.Team == team {
+			used += float64(len(job.runningOn)) * job.spec.CPUs
 		}
 	}
-	if used > lim.CPUs+1e-6 {
-		c.reportViolation("quota", "team %s uses %v of %v CPUs", team, used, lim.CPUs)
+	if used > limit.CPUs+1e-6 {
+		c.reportViolation("quota", "team %s uses %v of %v CPUs", team, used, limit.CPUs)
 	}
 }
 
-// taskStopped notes that a task has left a machine.
-func (c *Checker) taskStopped(task string, wk *Worker, r *taskRun) {
-	if t := c.jobOf(task); t != nil && t.runningOn[task] == wk {
-		delete(t.runningOn, task)
-		c.recordCancelMargin(task, t)
-		if t.spec.Kind == model.KindGang && !t.doneTasks[task] {
-			t.gangAttemptFor(r.attempt).taskGone(task, c.sim.Now)
+// taskStopped records that a task has left a machine.
+func (c *Checker) taskStopped(task string, wk *Worker, run *taskRun) {
+	if job := c.jobOf(task); job != nil && job.runningOn[task] == wk {
+		delete(job.runningOn, task)
+		c.recordCancelMargin(task, job)
+		if job.spec.Kind == model.KindGang && !job.doneTasks[task] {
+			job.gangAttemptFor(run.attempt).taskGone(task, c.sim.Now)
 		}
-		c.sim.tracef("task %s attempt %d leaves %s", task, r.attempt, wk.info.Host)
+		c.sim.tracef("task %s attempt %d leaves %s", task, run.attempt, wk.info.Host)
 	}
 }
 
-// recordCancelMargin notes how much of the time allowed was left when a cancelled task had
-// gone. It shows which days come near to breaking ran_cancelled.
-func (c *Checker) recordCancelMargin(task string, t *jobRecord) {
-	if t.cancelConfirmedAt == 0 {
+// recordCancelMargin records how much of CancelWithin remained when a cancelled task
+// stopped. It shows which scenarios come close to violating ran_cancelled.
+func (c *Checker) recordCancelMargin(task string, job *jobRecord) {
+	if job.cancelConfirmedAt == 0 {
 		return
 	}
 	c.CancelledTasksStopped++
-	margin := t.cancelConfirmedAt + c.sim.Options.Config.CancelWithin - c.sim.Now
+	margin := job.cancelConfirmedAt + c.sim.Options.Config.CancelWithin - c.sim.Now
 	if c.LeastMarginTask == "" || margin < c.LeastMargin {
 		c.LeastMargin, c.LeastMarginTask = margin, task
 	}
 }
 
-// checkReply checks an answer to a user against the truth and earlier answers. An
-// answer to a question that was asked before the user was told the end of a
-// job may still show it alive: the two crossed on the way.
-func (c *Checker) checkReply(t *jobRecord, asked time.Duration, r core.Reply) {
-	id := t.spec.ID
-	if t.accepted && asked >= t.acceptedAt && (r.Status == 404 || r.Status == 400 || r.Status == 422) {
-		c.reportViolation("forgotten", "%s is answered %d", id, r.Status)
-	}
-	st, ok := r.Body.(core.JobStatus)
-	if !ok || r.Status != 200 && r.Status != 201 {
+// checkReply checks an answer to a user against what really happened and against earlier
+// answers. If the user sent the request before the end of the job was confirmed, the
+// answer may still show the job as running, since the two messages can cross.
+func (c *Checker) checkReply(job *jobRecord, askedAt time.Duration, reply core.Reply) {
+	id := job.spec.ID
+	if job.accepted && askedAt >= job.acceptedAt && (reply.Status == 404 || reply.Status == 400 || reply.Status == 422) {
+		c.reportViolation("forgotten", "%s was accepted, but a request for it got status %d", id, reply.Status)
+	}
+	status, ok := reply.Body.(core.JobStatus)
+	if !ok || reply.Status != 200 && reply.Status != 201 {
 		return
 	}
-	if asked >= t.endConfirmedAt && (t.confirmedDone && st.Phase != model.PhaseDone || t.cancelConfirmedAt != 0 && st.Phase != model.PhaseAborted) {
-		c.reportViolation("went_back", "%s is called %s", id, st.Phase)
+	if askedAt >= job.endConfirmedAt && (job.confirmedDone && status.Phase != model.PhaseDone || job.cancelConfirmedAt != 0 && status.Phase != model.PhaseAborted) {
+		c.reportViolation("went_back", "%s is reported %s after its end was confirmed", id, status.Phase)
 	}
-	switch st.Phase {
+	switch status.Phase {
 	case model.PhaseDone:
-		c.checkDone(t)
+		c.checkDone(job)
 	case model.PhaseAborted:
-		c.checkCancelled(t)
+		c.checkCancelled(job)
 	}
 }
 
-// checkDone checks that a job is done as its user is told.
-func (c *Checker) checkDone(t *jobRecord) {
-	if len(t.doneTasks) < t.spec.Tasks {
-		c.reportViolation("not_done", "%s with %d of %d", t.spec.ID, len(t.doneTasks), t.spec.Tasks)
+// checkDone checks that a job is really done when its user is told so.
+func (c *Checker) checkDone(job *jobRecord) {
+	if len(job.doneTasks) < job.spec.Tasks {
+		c.reportViolation("not_done", "%s is reported done with %d of %d tasks done", job.spec.ID, len(job.doneTasks), job.spec.Tasks)
 	}
-	if !t.confirmedDone {
-		t.confirmedDone, t.endConfirmedAt = true, c.sim.Now
+	if !job.confirmedDone {
+		job.confirmedDone, job.endConfirmedAt = true, c.sim.Now
 		c.JobsDone++
-		c.sim.Users.probeAllControllers(t)
+		c.sim.Users.probeAllControllers(job)
 	}
 }
 
-// checkCancelled checks that a job was cancelled by its user, who is told so, and
-// that all its tasks are gone in time.
-func (c *Checker) checkCancelled(t *jobRecord) {
-	if !t.cancelRequested {
-		c.reportViolation("went_back", "%s is called cancelled unasked", t.spec.ID)
+// checkCancelled checks that a job reported as cancelled was cancelled by its user, and
+// that all its tasks are gone within CancelWithin of the first such report.
+func (c *Checker) checkCancelled(job *jobRecord) {
+	if !job.cancelRequested {
+		c.reportViolation("went_back", "%s is reported cancelled, but its user did not cancel it", job.spec.ID)
 	}
-	if t.cancelConfirmedAt != 0 {
+	if job.cancelConfirmedAt != 0 {
 		return
 	}
-	t.cancelConfirmedAt, t.endConfirmedAt = c.sim.Now, c.sim.Now
-	c.sim.Users.probeAllControllers(t)
+	job.cancelConfirmedAt, job.endConfirmedAt = c.sim.Now, c.sim.Now
+	c.sim.Users.probeAllControllers(job)
 	limit := c.sim.Options.Config.CancelWithin
 	c.sim.After(limit+time.Millisecond, func() {
-		for task := range t.runningOn {
+		for task := range job.runningOn {
 			c.reportViolation("ran_cancelled", "%s", task)
 		}
 	})
--- a/internal/sim/check_liveness.go
+++ b/internal/sim/check_liveness.go
@@ -7,109 +7,112 @@
 	"mulleinfall/internal/model"
 )
 
-// What is judged besides the rules: that everybody is served and answered.
+// This file checks progress besides safety: that all jobs are run and all requests are
+// answered.
 
-// maxWaitWithCapacity is how long a job may wait, once troubles are over, beside a
-// machine that has room for it (as the operators added to the protocol).
+// maxWaitWithCapacity is how long a job may wait after the end of the faults while a
+// machine has capacity for it. The operators have added this bound to the protocol.
 const maxWaitWithCapacity = 90 * time.Second
 
-// CheckWaiting looks each second, from now on, for jobs that wait though a machine
-// that they may use has room and their team is under its limit.
+// CheckWaiting checks every second from now on that no job waits for
+// maxWaitWithCapacity although a machine that it may use has capacity for it and its
+// team is below its limit.
 func (c *Checker) CheckWaiting() {
 	for _, id := range sortedKeys(c.jobs) {
-		t := c.jobs[id]
-		if !t.accepted || t.cancelRequested || !c.canStart(t) {
-			t.waitedWithCapacity = 0
+		job := c.jobs[id]
+		if !job.accepted || job.cancelRequested || !c.canStart(job) {
+			job.waitedWithCapacity = 0
 			continue
 		}
-		if t.waitedWithCapacity += time.Second; t.waitedWithCapacity == maxWaitWithCapacity {
-			c.reportViolation("left_waiting", "%s: %d of %d tasks on machines, %d done", id, len(t.runningOn), t.spec.Tasks, len(t.doneTasks))
+		if job.waitedWithCapacity += time.Second; job.waitedWithCapacity == maxWaitWithCapacity {
+			c.reportViolation("left_waiting", "%s: %d of %d tasks on machines, %d done", id, len(job.runningOn), job.spec.Tasks, len(job.doneTasks))
 		}
 	}
 	c.sim.After(time.Second, c.CheckWaiting)
 }
 
-// canStart says whether a task of t that is on no machine could be on one; of a
-// gang, all of them.
-func (c *Checker) canStart(t *jobRecord) bool {
-	j := &t.spec
-	left, used, zones := c.placement(t)
-	limit := c.sim.Options.Config.Teams[j.Team].Limit.CPUs
-	if left <= 0 || limit > 0 && used+j.CPUs > limit {
+// canStart reports whether a waiting task of the job could be placed on a machine now.
+// For a gang, all its tasks must fit at once.
+func (c *Checker) canStart(job *jobRecord) bool {
+	spec := &job.spec
+	waiting, usedCPUs, tasksInZone := c.placement(job)
+	limit := c.sim.Options.Config.Teams[spec.Team].Limit.CPUs
+	if waiting <= 0 || limit > 0 && usedCPUs+spec.CPUs > limit {
 		return false
 	}
-	need := 1
-	if j.Kind == model.KindGang {
-		need = j.Tasks
+	needed := 1
+	if spec.Kind == model.KindGang {
+		needed = spec.Tasks
 	}
-	room := map[string]int{} // by zone, or in all of them
-	for _, e := range sortedKeys(c.sim.Workers) {
-		wk := c.sim.Workers[e]
-		if !wk.acceptsTasks() || !allowsPlacement(j, wk, zones) {
+	capacity := map[string]int{} // tasks that fit, by zone or (with key "") in all zones
+	for _, endpoint := range sortedKeys(c.sim.Workers) {
+		wk := c.sim.Workers[endpoint]
+		if !wk.acceptsTasks() || !allowsPlacement(spec, wk, tasksInZone) {
 			continue
 		}
 		zone := wk.info.Zone
-		if !j.OneZone {
+		if !spec.OneZone {
 			zone = ""
 		}
-		if room[zone] += wk.taskCapacity(t); room[zone] >= need {
+		if capacity[zone] += wk.taskCapacity(job); capacity[zone] >= needed {
 			return true
 		}
 	}
 	return false
 }
 
-// placement counts the tasks of t that want a machine, the CPUs that its team uses,
-// and t's tasks on machines by zone.
-func (c *Checker) placement(t *jobRecord) (left int, used float64, zones map[string]int) {
-	left, zones = t.spec.Tasks-len(t.doneTasks), map[string]int{}
-	for task, wk := range t.runningOn {
-		if !t.doneTasks[task] {
-			left--
-		}
-		zones[wk.info.Zone]++
+// placement returns how many tasks of the job wait for a machine, the CPUs that its team
+// uses, and how many of the job's tasks are on machines in each zone.
+func (c *Checker) placement(job *jobRecord) (waiting int, usedCPUs float64, tasksInZone map[string]int) {
+	waiting, tasksInZone = job.spec.Tasks-len(job.doneTasks), map[string]int{}
+	for task, wk := range job.runningOn {
+		if !job.doneTasks[task] {
+			waiting--
+		}
+		tasksInZone[wk.info.Zone]++
 	}
 	fetching := map[string]bool{}
-	for _, e := range sortedKeys(c.sim.Workers) {
-		for task, r := range c.sim.Workers[e].tasks {
-			o := c.jobOf(task)
-			if r.state != model.TaskExited && o.spec.Team == t.spec.Team {
-				used += o.spec.CPUs
+	for _, endpoint := range sortedKeys(c.sim.Workers) {
+		for task, run := range c.sim.Workers[endpoint].tasks {
+			other := c.jobOf(task)
+			if run.state != model.TaskExited && other.spec.Team == job.spec.Team {
+				usedCPUs += other.spec.CPUs
 			}
-			if r.state == model.TaskFetching && o == t && !fetching[task] && !t.doneTasks[task] {
+			if run.state == model.TaskFetching && other == job && !fetching[task] && !job.doneTasks[task] {
 				fetching[task] = true
-				left--
-				zones[c.sim.Workers[e].info.Zone]++
+				waiting--
+				tasksInZone[c.sim.Workers[endpoint].info.Zone]++
 			}
 		}
 	}
-	return left, used, zones
+	return waiting, usedCPUs, tasksInZone
 }
 
-// acceptsTasks says whether the machine is in reach and stays.
+// acceptsTasks reports whether the machine can be reached and is not being reclaimed.
 func (wk *Worker) acceptsTasks() bool {
 	return !wk.Paused && !wk.CannotReceive && !wk.CannotReport && wk.reclaimAt == 0
 }
 
-// allowsPlacement says whether a task of j may be on wk, beside its tasks in each zone.
-func allowsPlacement(j *model.Job, wk *Worker, zones map[string]int) bool {
-	here := zones[wk.info.Zone]
+// allowsPlacement reports whether a job permits another of its tasks on a machine, given
+// its tasks in each zone.
+func allowsPlacement(spec *model.Job, wk *Worker, tasksInZone map[string]int) bool {
+	inZone := tasksInZone[wk.info.Zone]
 	switch {
-	case !j.AllowsType(wk.info.Type), j.Zone != "" && j.Zone != wk.info.Zone, wk.info.Spot && !j.Spot:
+	case !spec.AllowsType(wk.info.Type), spec.Zone != "" && spec.Zone != wk.info.Zone, wk.info.Spot && !spec.Spot:
 		return false
-	case j.Spread && here >= j.MaxTasksPerZone():
+	case spec.Spread && inZone >= spec.MaxTasksPerZone():
 		return false
 	}
-	return !j.OneZone || here > 0 || len(zones) == 0
+	return !spec.OneZone || inZone > 0 || len(tasksInZone) == 0
 }
 
-// CountBatchJobs counts the jobs that were accepted and neither cancelled nor services,
-// and how many of them users were told are done.
+// CountBatchJobs returns the number of accepted batch jobs that were not cancelled, and
+// how many of them were confirmed to their users as done.
 func (c *Checker) CountBatchJobs() (accepted, done int) {
-	for _, t := range c.jobs {
-		if t.accepted && !t.cancelRequested && t.spec.Kind == model.KindBatch {
+	for _, job := range c.jobs {
+		if job.accepted && !job.cancelRequested && job.spec.Kind == model.KindBatch {
 			accepted++
-			if t.confirmedDone {
+			if job.confirmedDone {
 				done++
 			}
 		}
@@ -117,86 +120,87 @@
 	return
 }
 
-// maxStartDelay is what the protocol allows the largest jobs to begin.
+// maxStartDelay is the time within which the protocol requires the largest jobs to
+// start.
 const maxStartDelay = 4 * time.Minute
 
-// CheckServed checks at the end of a day that every class and team, and the largest
-// jobs of each class, had at least half of their accepted, uncancelled jobs
-// begun, and that the largest began in time.
+// CheckServed checks at the end of a run that at least half of the accepted, uncancelled
+// jobs have started in every class, in every team and among the largest jobs of each
+// class, and that each of the largest jobs started within maxStartDelay.
 func (c *Checker) CheckServed() {
-	type tally struct{ jobs, begun int }
-	count := map[string]*tally{}
-	add := func(group string, t *jobRecord) {
-		g := count[group]
-		if g == nil {
-			g = &tally{}
-			count[group] = g
-		}
-		g.jobs++
-		if t.firstStartedAt != 0 {
-			g.begun++
+	type tally struct{ jobs, started int }
+	tallies := map[string]*tally{}
+	add := func(group string, job *jobRecord) {
+		groupTally := tallies[group]
+		if groupTally == nil {
+			groupTally = &tally{}
+			tallies[group] = groupTally
+		}
+		groupTally.jobs++
+		if job.firstStartedAt != 0 {
+			groupTally.started++
 		}
 	}
 	largest := map[string]int{}
-	for _, t := range c.jobs {
-		largest[t.spec.Class] = max(largest[t.spec.Class], t.spec.Tasks)
+	for _, job := range c.jobs {
+		largest[job.spec.Class] = max(largest[job.spec.Class], job.spec.Tasks)
 	}
 	for _, id := range sortedKeys(c.jobs) {
-		t := c.jobs[id]
-		if !t.accepted || t.cancelRequested {
+		job := c.jobs[id]
+		if !job.accepted || job.cancelRequested {
 			continue
 		}
-		add("class "+t.spec.Class, t)
-		add("team "+t.spec.Team, t)
-		if t.spec.Tasks == largest[t.spec.Class] {
-			add("largest of "+t.spec.Class, t)
-			if (t.firstStartedAt == 0 && c.sim.Now-t.submittedAt > maxStartDelay) || t.firstStartedAt-t.submittedAt > maxStartDelay {
-				c.reportViolation("starved", "%s, a largest job of its class, had not begun %v after it was submitted", id, maxStartDelay)
+		add("class "+job.spec.Class, job)
+		add("team "+job.spec.Team, job)
+		if job.spec.Tasks == largest[job.spec.Class] {
+			add("largest of "+job.spec.Class, job)
+			if (job.firstStartedAt == 0 && c.sim.Now-job.submittedAt > maxStartDelay) || job.firstStartedAt-job.submittedAt > maxStartDelay {
+				c.reportViolation("starved", "%s, a largest job of its class, had not started %v after it was submitted", id, maxStartDelay)
 			}
 		}
 	}
-	for _, group := range sortedKeys(count) {
-		if g := count[group]; 2*g.begun < g.jobs {
-			c.reportViolation("starved", "%s: %d of %d jobs begun", group, g.begun, g.jobs)
+	for _, group := range sortedKeys(tallies) {
+		if groupTally := tallies[group]; 2*groupTally.started < groupTally.jobs {
+			c.reportViolation("starved", "%s: %d of %d jobs started", group, groupTally.started, groupTally.jobs)
 		}
 	}
 }
 
-// CheckKnown has every node asked for every accepted job and checks the answers:
-// within the time given all must be right, and what wasn't cancelled is done
-// or runs.
+// CheckKnown polls every accepted job at every controller and checks the answers. Each
+// controller must answer with 200 within the given time. All replicas of services that
+// were not cancelled must run at the end of that time.
 func (c *Checker) CheckKnown(within time.Duration) {
 	for _, id := range sortedKeys(c.jobs) {
-		t := c.jobs[id]
-		if !t.accepted {
+		job := c.jobs[id]
+		if !job.accepted {
 			continue
 		}
-		for _, n := range c.sim.Controllers {
-			answered := false
-			asked := c.sim.Now
-			var try func()
-			try = func() {
-				if answered || c.sim.Now > asked+within {
+		for _, controller := range c.sim.Controllers {
+			isAnswered := false
+			startedAt := c.sim.Now
+			var poll func()
+			poll = func() {
+				if isAnswered || c.sim.Now > startedAt+within {
 					return
 				}
-				sent := c.sim.Now
-				n.sendRequest("users", func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, func(r core.Reply) {
-					c.checkReply(t, sent, r)
-					answered = answered || r.Status == 200
+				askedAt := c.sim.Now
+				controller.sendRequest("users", func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, func(reply core.Reply) {
+					c.checkReply(job, askedAt, reply)
+					isAnswered = isAnswered || reply.Status == 200
 				})
-				c.sim.After(2*time.Second, try)
+				c.sim.After(2*time.Second, poll)
 			}
-			try()
-			c.sim.At(asked+within, func() {
-				if !answered {
-					c.reportViolation("forgotten", "%s: no answer from %s in %v", id, n.Name, within)
+			poll()
+			c.sim.At(startedAt+within, func() {
+				if !isAnswered {
+					c.reportViolation("forgotten", "%s: no answer with status 200 from %s within %v", id, controller.Name, within)
 				}
 			})
 		}
-		if t.spec.Kind == model.KindService && !t.cancelRequested {
+		if job.spec.Kind == model.KindService && !job.cancelRequested {
 			c.sim.At(c.sim.Now+within, func() {
-				if len(t.runningOn) != t.spec.Tasks {
-					c.reportViolation("forgotten", "%s: %d of %d replicas run", id, len(t.runningOn), t.spec.Tasks)
+				if len(job.runningOn) != job.spec.Tasks {
+					c.reportViolation("forgotten", "%s: got %d of %d replicas running", id, len(job.runningOn), job.spec.Tasks)
 				}
 			})
 		}
