--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -8,63 +8,64 @@
 	"mulleinfall/internal/core"
 )
 
-// BenchmarkSteadyMinute measures what the leader's decisions cost with many
-// tasks running: reports, rounds and ticks, without the edges. scale 1 is
-// about the size of the deployments in service, 10 ten times their tasks.
+// BenchmarkSteadyMinute measures a minute of the whole cluster with many tasks running:
+// reports, dispatch rounds and ticks, without real network layers. Scale 1 is about the
+// size of the deployments in service, scale 10 has ten times their tasks.
 func BenchmarkSteadyMinute(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
-			w := busySimulation(scale, time.Duration(b.N+2)*time.Minute)
+			sim := busySimulation(scale, time.Duration(b.N+2)*time.Minute)
 			b.ReportAllocs()
 			b.ResetTimer()
-			w.RunUntil(time.Duration(b.N+2) * time.Minute)
+			sim.RunUntil(time.Duration(b.N+2) * time.Minute)
 			b.StopTimer()
-			if w.Checker.TaskStarts == 0 {
-				b.Fatal("nothing ran")
+			if sim.Checker.TaskStarts == 0 {
+				b.Fatal("got no task starts, want at least one")
 			}
 		})
 	}
 }
 
-// busySimulation is a world in the middle of its work: batches come until the time given,
-// with scale times the tasks on machines that are as much larger.
+// busySimulation returns a simulation under load after its first two minutes. Batch jobs
+// are submitted until the given time, with scale times the tasks, on machines that are
+// larger by the same factor.
 func busySimulation(scale int, until time.Duration) *Simulation {
-	opt := DefaultOptions(1)
-	opt.Capacity = 12
-	opt.Types[0].CPUs, opt.Types[0].MemoryGB, opt.Types[0].CacheGB = 4*float64(scale), 16*float64(scale), 60
-	w := New(opt)
-	n := 0
+	options := DefaultOptions(1)
+	options.Capacity = 12
+	options.Types[0].CPUs, options.Types[0].MemoryGB, options.Types[0].CacheGB = 4*float64(scale), 16*float64(scale), 60
+	sim := New(options)
+	submitted := 0
 	for at := 2 * second; at < until; at += 4 * second {
-		n++
-		j := batchJob(fmt.Sprintf("req-%06d", n), 8*scale)
-		w.At(at, func() { w.Users.Submit(j, 40*second) })
+		submitted++
+		job := batchJob(fmt.Sprintf("req-%06d", submitted), 8*scale)
+		sim.At(at, func() { sim.Users.Submit(job, 40*second) })
 	}
-	w.RunUntil(2 * time.Minute)
-	return w
+	sim.RunUntil(2 * time.Minute)
+	return sim
 }
 
-// BenchmarkReport measures a worker's report and its answer, BenchmarkPoll a
-// user's question about a job that is over.
+// BenchmarkReport measures how the leader handles a worker's report.
 func BenchmarkReport(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
-			w := busySimulation(scale, 2*time.Minute)
-			n, keys := w.Leader(), sortedKeys(w.Workers)
+			sim := busySimulation(scale, 2*time.Minute)
+			leader, endpoints := sim.Leader(), sortedKeys(sim.Workers)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: w.Workers[keys[i%len(keys)]].nextReport()})
+				leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: sim.Workers[endpoints[i%len(endpoints)]].nextReport()})
 			}
 		})
 	}
 }
 
+// BenchmarkPoll measures how the leader answers a poll of a finished job.
 func BenchmarkPoll(b *testing.B) {
-	w := busySimulation(1, 2*time.Minute)
-	n := w.Leader()
+	sim := busySimulation(1, 2*time.Minute)
+	leader := sim.Leader()
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(n.State.Step(n.monotonicNow(), core.Poll{RequestID: 1, ID: "req-000001"})) == 0 {
-			b.Fatal("not answered at once: the job should be over by now")
+		if len(leader.State.Step(leader.monotonicNow(), core.Poll{RequestID: 1, ID: "req-000001"})) == 0 {
+			b.Fatal("got no answer in the same step, want one, since the job should be finished by now")
 		}
 	}
 }
--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -5,88 +5,91 @@
 	"time"
 )
 
-// cancelScenario is a day on which a job is cancelled while the orders to stop its
-// tasks don't get through.
+// cancelScenario is a run in which a job is cancelled while the orders to stop its tasks
+// don't reach the machine.
 type cancelScenario struct {
 	*grown
-	machine *Worker // which has the job's tasks
+	machine *Worker // the machine that runs the job's task
 	job     string
 }
 
+// cancelAt is when the faults of a scenario begin. The job is cancelled 200 ms later.
 const cancelAt = 60 * second
 
-// afterReportAnswer calls f once the machine has taken an answer to a report that it
-// sent after a time.
-func (d *cancelScenario) afterReportAnswer(sent time.Duration, f func()) {
-	d.runWhen(sent, func() bool { return d.machine.leaseStartedAt > sent }, f)
+// afterReportAnswer calls f once the machine has received the answer to a report that it
+// sent after the given time.
+func (s *cancelScenario) afterReportAnswer(sent time.Duration, f func()) {
+	s.runWhen(sent, func() bool { return s.machine.leaseStartedAt > sent }, f)
 }
 
-// crashEachLeader ends whoever leads as soon as the machine has its answer, again and
-// again until a time.
-func (d *cancelScenario) crashEachLeader(until time.Duration) {
-	d.afterReportAnswer(d.Now, func() {
-		d.crashLeader(300 * time.Millisecond)
-		if d.Now < until {
-			d.crashEachLeader(until)
+// crashEachLeader crashes each leader as soon as the machine has an answer from it, until
+// the given time.
+func (s *cancelScenario) crashEachLeader(until time.Duration) {
+	s.afterReportAnswer(s.Now, func() {
+		s.crashLeader(300 * time.Millisecond)
+		if s.Now < until {
+			s.crashEachLeader(until)
 		}
 	})
 }
 
-// Days on which a machine is answered more than cancel_s - lease_s after its
-// task's user was told of the cancellation, and doesn't hear of it after that.
+// cancelScenarios are scenarios in which a machine gets an answer, and with it a renewed
+// lease, later than cancel_s - lease_s after the cancellation was confirmed to the user.
+// No message reaches the machine after that answer.
 var cancelScenarios = []struct {
-	name string
-	zone int // machines in each zone
-	play func(d *cancelScenario)
+	name            string
+	machinesPerZone int
+	run             func(scenario *cancelScenario)
 }{
-	{"each leader ends before the machine reports to it again", 5, func(d *cancelScenario) {
-		d.LateCommandFraction = 1
-		d.crashLeader(300 * time.Millisecond)
-		d.crashEachLeader(d.Now + d.Options.Config.CancelWithin)
+	{"each leader crashes before the machine reports to it again", 5, func(scenario *cancelScenario) {
+		scenario.LateCommandFraction = 1
+		scenario.crashLeader(300 * time.Millisecond)
+		scenario.crashEachLeader(scenario.Now + scenario.Options.Config.CancelWithin)
 	}},
-	{"the machine hangs once a leader elected late has answered it", 5, pauseOnceAnswered},
+	{"the machine is paused once a leader elected late has answered it", 5, pauseOnceAnswered},
 	{"the same among thousands of machines", 1340, pauseOnceAnswered},
 }
 
-// pauseOnceAnswered has nobody lead until a machine's lease may be renewed beyond
-// what is allowed, and the machine hang as soon as that has happened.
-func pauseOnceAnswered(d *cancelScenario) {
-	c := d.Options.Config
-	d.LateCommandFraction = 1
-	d.crashLeader(10 * second)
-	d.outage(d.Now+500*time.Millisecond, d.Now+c.CancelWithin-c.Lease)
-	d.afterReportAnswer(d.Now+c.CancelWithin-c.Lease, func() { d.machine.Pause(c.Lease + 10*second) })
+// pauseOnceAnswered prevents any election until a renewed lease of the machine would
+// last longer than CancelWithin allows. It then pauses the machine as soon as a leader
+// has answered it.
+func pauseOnceAnswered(scenario *cancelScenario) {
+	config := scenario.Options.Config
+	scenario.LateCommandFraction = 1
+	scenario.crashLeader(10 * second)
+	scenario.outage(scenario.Now+500*time.Millisecond, scenario.Now+config.CancelWithin-config.Lease)
+	scenario.afterReportAnswer(scenario.Now+config.CancelWithin-config.Lease, func() { scenario.machine.Pause(config.Lease + 10*second) })
 }
 
-// TestCancelledTasksAreGone: whatever is answered to a machine, the tasks of a
-// cancelled job are gone within cancel_s. A new leader once answered machines that
-// it hadn't adopted yet, and with that renewed their leases, without the order to
-// stop such tasks.
+// TestCancelledTasksAreGone checks that the tasks of a cancelled job are gone within
+// cancel_s, whatever answers a machine gets. It guards against a new leader that answers
+// machines whose tasks it has not yet reconciled, and so renews their leases, without
+// the order to stop the tasks of cancelled jobs.
 func TestCancelledTasksAreGone(t *testing.T) {
-	for _, day := range cancelScenarios {
-		t.Run(day.name, func(t *testing.T) {
+	for _, test := range cancelScenarios {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			opt := largest(1)
-			d := &cancelScenario{grown: growTo(opt, day.zone), job: "req-000001"}
-			d.Users.StopsPollingAtEnd = true
-			d.At(20*second, func() { d.Users.Submit(serviceJob(d.job, 1), 0) })
-			d.RunUntil(cancelAt)
-			d.machine = d.runningMachine(d.job + "/0")
-			if d.machine == nil {
-				t.Fatal("the task doesn't run")
+			options := largest(1)
+			scenario := &cancelScenario{grown: growTo(options, test.machinesPerZone), job: "req-000001"}
+			scenario.Users.StopsPollingAtEnd = true
+			scenario.At(20*second, func() { scenario.Users.Submit(serviceJob(scenario.job, 1), 0) })
+			scenario.RunUntil(cancelAt)
+			scenario.machine = scenario.runningMachine(scenario.job + "/0")
+			if scenario.machine == nil {
+				t.Fatal("got no machine that runs the task, want one")
 			}
-			day.play(d)
-			d.RunUntil(cancelAt + 200*time.Millisecond)
-			d.Users.Cancel(d.job)
-			d.RunUntil(cancelAt + 2*opt.Config.CancelWithin)
-			for _, b := range d.Checker.Violations {
+			test.run(scenario)
+			scenario.RunUntil(cancelAt + 200*time.Millisecond)
+			scenario.Users.Cancel(scenario.job)
+			scenario.RunUntil(cancelAt + 2*options.Config.CancelWithin)
+			for _, b := range scenario.Checker.Violations {
 				t.Error(b)
 			}
-			told := d.Checker.jobs[d.job].cancelConfirmedAt
-			if told == 0 || told > cancelAt+5*second || d.Checker.CancelledTasksStopped == 0 {
-				t.Errorf("told of the cancellation at %v, %d tasks seen to go: the day shows nothing", told, d.Checker.CancelledTasksStopped)
+			confirmedAt := scenario.Checker.jobs[scenario.job].cancelConfirmedAt
+			if confirmedAt == 0 || confirmedAt > cancelAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
+				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s and at least 1 task", confirmedAt, scenario.Checker.CancelledTasksStopped)
 			}
-			t.Logf("gone %v before the time allowed was over", d.Checker.LeastMargin)
+			t.Logf("the cancelled tasks were gone %v before the end of cancel_s", scenario.Checker.LeastMargin)
 		})
 	}
 }
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -9,13 +9,14 @@
 	"mulleinfall/internal/sched"
 )
 
-// editOrders changes the orders that a node sends, whichever way they go.
+// editOrders applies f to the orders in an effect, whether the controller sends them in
+// a reply to a report or in a direct command.
 func editOrders(e core.Effect, f func([]model.Order) []model.Order) core.Effect {
 	switch e := e.(type) {
 	case core.Reply:
-		if b, ok := e.Body.(core.ReportReply); ok {
-			b.Orders = f(b.Orders)
-			e.Body = b
+		if body, ok := e.Body.(core.ReportReply); ok {
+			body.Orders = f(body.Orders)
+			e.Body = body
 			return e
 		}
 	case core.AgentCall:
@@ -25,147 +26,147 @@
 	return e
 }
 
-// editJobStatus changes what users are told.
+// editJobStatus applies f to the job status in a reply to a user.
 func editJobStatus(e core.Effect, f func(core.JobStatus) core.JobStatus) core.Effect {
 	if r, ok := e.(core.Reply); ok {
-		if st, ok := r.Body.(core.JobStatus); ok && r.Status == 200 {
-			r.Body = f(st)
+		if status, ok := r.Body.(core.JobStatus); ok && r.Status == 200 {
+			r.Body = f(status)
 			return r
 		}
 	}
 	return e
 }
 
-// TestCheckerReportsEachViolation breaks the service on purpose, once for each rule,
-// and expects the checker to say so.
+// TestCheckerReportsEachViolation breaks the service on purpose, once for each rule, and
+// checks that the checker reports a violation of that rule.
 func TestCheckerReportsEachViolation(t *testing.T) {
-	var seen []model.Order
-	moved := map[string]model.Order{}
-	noKills := func(o []model.Order) []model.Order {
+	var repeatedStarts []model.Order
+	heldStarts := map[string]model.Order{}
+	withoutKills := func(orders []model.Order) []model.Order {
 		kept := []model.Order{}
-		for _, x := range o {
-			if x.Verb != model.OrderKill {
-				kept = append(kept, x)
+		for _, order := range orders {
+			if order.Verb != model.OrderKill {
+				kept = append(kept, order)
 			}
 		}
 		return kept
 	}
 	cases := []struct {
 		rule   string
-		tamper func(w *Simulation, n *Controller, e core.Effect) core.Effect
-		setup  func(w *Simulation)
+		tamper func(sim *Simulation, controller *Controller, e core.Effect) core.Effect
+		setup  func(sim *Simulation)
 	}{
-		{rule: "ran_twice", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			return editOrders(e, func(o []model.Order) []model.Order {
-				for _, x := range o {
-					if x.Verb == model.OrderStart {
-						seen = append(seen, model.Order{Verb: model.OrderStart, Task: x.Task, Attempt: x.Attempt + 1})
+		{rule: "ran_twice", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			return editOrders(e, func(orders []model.Order) []model.Order {
+				for _, order := range orders {
+					if order.Verb == model.OrderStart {
+						repeatedStarts = append(repeatedStarts, model.Order{Verb: model.OrderStart, Task: order.Task, Attempt: order.Attempt + 1})
 					}
 				}
-				return append(noKills(o), seen...)
+				return append(withoutKills(orders), repeatedStarts...)
 			})
 		}},
-		{rule: "quota", setup: func(w *Simulation) {
-			w.Options.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
+		{rule: "quota", setup: func(sim *Simulation) {
+			sim.Options.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
 		}},
-		{rule: "wrong_place", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			// Replica 1 is sent wherever replica 0 goes.
-			return editOrders(e, func(o []model.Order) []model.Order {
+		{rule: "wrong_place", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			// The start of replica 1 is sent to the machine that starts replica 0.
+			return editOrders(e, func(orders []model.Order) []model.Order {
 				kept := []model.Order{}
-				for _, x := range noKills(o) {
-					if x.Verb == model.OrderStart && strings.HasSuffix(x.Task, "/1") {
-						moved[x.Task] = x
+				for _, order := range withoutKills(orders) {
+					if order.Verb == model.OrderStart && strings.HasSuffix(order.Task, "/1") {
+						heldStarts[order.Task] = order
 						continue
 					}
-					if pair, first := strings.CutSuffix(x.Task, "/0"); first && x.Verb == model.OrderStart && w.Checker.jobs[pair].spec.Tasks == 2 {
-						m, ok := moved[pair+"/1"]
+					if job, isFirst := strings.CutSuffix(order.Task, "/0"); isFirst && order.Verb == model.OrderStart && sim.Checker.jobs[job].spec.Tasks == 2 {
+						secondStart, ok := heldStarts[job+"/1"]
 						if !ok {
-							continue // it is sent again, and by then both go
+							continue // the order is sent again, and both starts go out then
 						}
-						kept = append(kept, m)
+						kept = append(kept, secondStart)
 					}
-					kept = append(kept, x)
+					kept = append(kept, order)
 				}
 				return kept
 			})
-		}, setup: func(w *Simulation) {
-			w.At(0, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
+		}, setup: func(sim *Simulation) {
+			sim.At(0, func() {
+				sim.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 2, CPUs: 0.5, MemoryGB: 1, Image: "svc", ImageGB: 1, Spread: true}, 0)
 			})
 		}},
-		{rule: "ran_cancelled", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			return editOrders(e, noKills)
-		}, setup: func(w *Simulation) {
-			w.At(20*second, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
+		{rule: "ran_cancelled", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			return editOrders(e, withoutKills)
+		}, setup: func(sim *Simulation) {
+			sim.At(20*second, func() {
+				sim.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindService, Priority: model.PriorityProd,
 					Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "svc", ImageGB: 1}, 0)
 			})
-			w.At(60*second, func() {
-				w.Cloud.Unavailable = true // else the machine is returned before the time is up
-				w.Users.Cancel("req-500000")
+			sim.At(60*second, func() {
+				sim.Cloud.Unavailable = true // otherwise the machine is returned before CancelWithin has passed
+				sim.Users.Cancel("req-500000")
 			})
 		}},
-		{rule: "late_start", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
-				if st.ID == "req-500000" && w.Now > 60*second {
-					st.Phase = model.PhaseAborted
+		{rule: "late_start", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(status core.JobStatus) core.JobStatus {
+				if status.ID == "req-500000" && sim.Now > 60*second {
+					status.Phase = model.PhaseAborted
 				}
-				return st
+				return status
 			})
-		}, setup: func(w *Simulation) {
-			w.At(20*second, func() {
-				w.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow,
+		}, setup: func(sim *Simulation) {
+			sim.At(20*second, func() {
+				sim.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow,
 					Tasks: 120, CPUs: 2, MemoryGB: 1, Image: "low", ImageGB: 1, EstimateS: 10}, 15*second)
 			})
-			w.At(60*second, func() { w.Checker.jobs["req-500000"].cancelRequested = true }) // and is told so, while it goes on
+			sim.At(60*second, func() { sim.Checker.jobs["req-500000"].cancelRequested = true }) // replies say cancelled, but the job goes on
 		}},
-		{rule: "forgotten", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			if r, ok := e.(core.Reply); ok && r.Status == 200 && w.Now > 60*second {
+		{rule: "forgotten", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			if r, ok := e.(core.Reply); ok && r.Status == 200 && sim.Now > 60*second {
 				if _, ok := r.Body.(core.JobStatus); ok {
 					return core.Reply{RequestID: r.RequestID, Status: 404}
 				}
 			}
 			return e
 		}},
-		{rule: "invented", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+		{rule: "invented", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 404 {
 				return core.Reply{RequestID: r.RequestID, Status: 200, Body: core.JobStatus{}}
 			}
 			return e
 		}},
-		{rule: "not_done", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
-				st.Phase = model.PhaseDone
-				return st
+		{rule: "not_done", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(status core.JobStatus) core.JobStatus {
+				status.Phase = model.PhaseDone
+				return status
 			})
 		}},
-		{rule: "went_back", tamper: func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-			return editJobStatus(e, func(st core.JobStatus) core.JobStatus {
-				if w.Now > 80*second {
-					st.Phase = model.PhaseRunning
+		{rule: "went_back", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			return editJobStatus(e, func(status core.JobStatus) core.JobStatus {
+				if sim.Now > 80*second {
+					status.Phase = model.PhaseRunning
 				}
-				return st
+				return status
 			})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.rule, func(t *testing.T) {
-			seen = nil
-			opt := DefaultOptions(3)
-			opt.Tamper = c.tamper
-			w := New(opt)
+			repeatedStarts = nil
+			options := DefaultOptions(3)
+			options.Tamper = c.tamper
+			sim := New(options)
 			if c.setup != nil {
-				c.setup(w)
+				c.setup(sim)
 			}
-			load(w, 90*second)
-			w.RunUntil(160 * second)
-			for _, b := range w.Checker.Violations {
-				if strings.Contains(b, c.rule+":") {
+			load(sim, 90*second)
+			sim.RunUntil(160 * second)
+			for _, violation := range sim.Checker.Violations {
+				if strings.Contains(violation, c.rule+":") {
 					return
 				}
 			}
-			t.Errorf("the checker did not notice; it saw %v", w.Checker.Violations)
+			t.Errorf("got violations %v, want one of rule %s", sim.Checker.Violations, c.rule)
 		})
 	}
 }
