--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -8,9 +8,9 @@
 	"mulleinfall/internal/core"
 )
 
-// BenchmarkSteadyMinute measures a minute of the whole cluster with many tasks running:
-// reports, dispatch rounds and ticks, without real network layers. Scale 1 is about the
-// size of the deployments in service, scale 10 has ten times their tasks.
+// BenchmarkSteadyMinute measures the cost of the leader's decisions in a minute with many
+// tasks running: reports, dispatch rounds and ticks, without the network layers. Scale 1
+// is about the size of the deployments in service, scale 10 has ten times their tasks.
 func BenchmarkSteadyMinute(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
