--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -136,7 +136,7 @@
 	}
 	_, tick := ev.(core.Tick)
 	if tick && c.busyUntil > c.sim.Now {
-		return // a time.Ticker drops ticks that nobody receives
+		return // a time.Ticker drops ticks that are not received in time
 	}
 	c.busyUntil = max(c.busyUntil, c.sim.Now) + c.StepDuration
 	incarnation := c.incarnation
@@ -151,7 +151,7 @@
 // pause it keeps the event for later.
 func (c *Controller) process(ev core.Event) {
 	if p := c.paused; p != nil && p.inStep {
-		if _, tick := ev.(core.Tick); !tick { // a time.Ticker drops ticks that nobody receives
+		if _, tick := ev.(core.Tick); !tick { // a time.Ticker drops ticks that are not received in time
 			p.events = append(p.events, ev)
 		}
 		return
