--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -33,13 +33,13 @@
 	if supported, inForce := s.voter.PromisedTo(s.now); inForce && supported != s.cfg.Self {
 		return
 	}
-	if s.steppedDownUnreached && s.now-s.leaderKeyGoneAt < s.cfg.Lease/4 {
+	if s.steppedDownUnreached && s.now-s.leaderKeyChangedAt < s.cfg.Lease/4 {
 		// This controller stepped down because no worker reached it, and it has
 		// received no report since. The others go first: if it were elected
 		// again, the workers would lose their leases.
 		return
 	}
-	if s.leadershipExpiredAt != 0 && s.now-s.leadershipExpiredAt < s.cfg.Lease && s.now-s.leaderKeyGoneAt < s.electionConfig.PromiseDuration/2 {
+	if s.leadershipExpiredAt != 0 && s.now-s.leadershipExpiredAt < s.cfg.Lease && s.now-s.leaderKeyChangedAt < s.electionConfig.PromiseDuration/2 {
 		// This controller could not renew its last leadership in time, so the
 		// others go first. Otherwise two slow controllers can take turns as leader
 		// while a third would work well.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -136,7 +136,7 @@
 		cfg.Peers = []string{"n1", "n2"}
 		s := New(cfg, 0)
 		s.loaded, s.hasContact, s.lastContactAt = true, true, 20*time.Second
-		s.steppedDownUnreached, s.leaderKeyGoneAt = true, 20*time.Second
+		s.steppedDownUnreached, s.leaderKeyChangedAt = true, 20*time.Second
 		return s
 	}
 	s := unreached()
@@ -164,12 +164,12 @@
 	campaignDelay := func(leadershipExpiredAt time.Duration) time.Duration {
 		s := New(cfg, 0)
 		s.loaded, s.hasContact, s.leadershipExpiredAt = true, true, leadershipExpiredAt
-		s.leaderKeyGoneAt = 20 * time.Second
-		for at := s.leaderKeyGoneAt; at < 30*time.Second; at += 50 * time.Millisecond {
+		s.leaderKeyChangedAt = 20 * time.Second
+		for at := s.leaderKeyChangedAt; at < 30*time.Second; at += 50 * time.Millisecond {
 			s.lastContactAt = at
 			for _, e := range s.Step(at, Tick{}) {
 				if p, ok := e.(PeerOut); ok && p.Msg.Kind == MsgVoteRequest {
-					return at - s.leaderKeyGoneAt
+					return at - s.leaderKeyChangedAt
 				}
 			}
 		}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -12,8 +12,8 @@
 // This file collects the input of fleet.Plan: the demand for machines, the expected
 // capacity, and the offers of the cloud.
 
-// shortestBoot is the shortest boot time of all machine types.
-func (s *State) shortestBoot() time.Duration {
+// shortestBootTime is the shortest boot time of all machine types.
+func (s *State) shortestBootTime() time.Duration {
 	bootS := 0.0
 	for i := range s.typeList {
 		if b := s.typeList[i].BootS; bootS == 0 || b < bootS {
@@ -52,7 +52,7 @@
 // machine rented now could be up.
 func (s *State) expectedCapacity() []fleet.ExpectedCapacity {
 	var expected []fleet.ExpectedCapacity
-	horizon := s.now + s.shortestBoot()
+	horizon := s.now + s.shortestBootTime()
 	for _, m := range s.machinesByName {
 		if s.zones[m.zone].unreachable || m.machineType == nil || m.returning || m.failed || m.leaseExpired || m.slow || m.reclaimAt != 0 {
 			continue
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -168,7 +168,7 @@
 		j.queueEntry.RestartMissesGoal = s.restartMissesGoal(j)
 		// Machines rented for the gang would be up by this age. Machines kept free for
 		// it from the start made other gangs miss their start goals.
-		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBoot()
+		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBootTime()
 		j.queueEntry.Rank = queueRank(j)
 		if s.isStarved(j) {
 			j.queueEntry.Rank, j.queueEntry.Waiting = -1, 1
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -156,7 +156,7 @@
 	for _, class := range sortedKeys(s.recentGangs) {
 		recent := s.recentGangs[class]
 		start := s.cfg.Goals[class].StartWithin
-		if s.now-recent.seenAt > s.spareCapacityTimeout() || s.exceedsCloudCapacity(recent.job) || start == 0 || start > s.shortestBoot()*3/2 {
+		if s.now-recent.seenAt > s.spareCapacityTimeout() || s.exceedsCloudCapacity(recent.job) || start == 0 || start > s.shortestBootTime()*3/2 {
 			continue
 		}
 		if best == nil || float64(recent.job.Tasks)*recent.job.CPUs > float64(best.Tasks)*best.CPUs {
@@ -176,7 +176,7 @@
 
 // spareCapacityTimeout returns how long spare capacity is kept after the last gang.
 // After that, idle machines are returned.
-func (s *State) spareCapacityTimeout() time.Duration { return 2 * s.shortestBoot() }
+func (s *State) spareCapacityTimeout() time.Duration { return 2 * s.shortestBootTime() }
 
 // gangTasksThatFit returns how many tasks of the spare gang g fit on m now.
 func (s *State) gangTasksThatFit(m *machine, g *job) int {
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -41,16 +41,16 @@
 	completeReadAt time.Duration // when the last read that made this copy complete was sent
 	hasContact     bool          // the state service has answered at least once
 
-	termModRevision   uint64
-	termWinner        string // controller that won the term
-	term              uint64
-	leaderName        string
-	leaderTerm        uint64
-	leaderLease       uint64
-	leaderModRevision uint64
-	leaderKeyGoneAt   time.Duration // when the leader key last changed; if it is gone, when it went
-	typesModRevision  uint64
-	clusterVersion    int // version that the whole cluster uses: see version.go
+	termModRevision    uint64
+	termWinner         string // controller that won the term
+	term               uint64
+	leaderName         string
+	leaderTerm         uint64
+	leaderLease        uint64
+	leaderModRevision  uint64
+	leaderKeyChangedAt time.Duration // when the leader key last changed; if it is gone, when it went
+	typesModRevision   uint64
+	clusterVersion     int // version that the whole cluster uses: see version.go
 }
 
 func (r *replica) init() {
@@ -254,7 +254,7 @@
 		s.stepDownIfSuperseded()
 	case item.Key == keyLeader:
 		s.leaderName, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
-		s.leaderKeyGoneAt = s.now
+		s.leaderKeyChangedAt = s.now
 		if !item.Removed {
 			var value leaderValue
 			if json.Unmarshal(item.Value, &value) == nil {
