--- a/cmd/mulleinfall/main.go
+++ b/cmd/mulleinfall/main.go
@@ -75,7 +75,8 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: minLevel})))
 }
 
-// serve runs a controller until it is interrupted or terminated.
+// serve runs a controller until the process is interrupted or terminated, or a listener
+// fails.
 func serve(settings *config.Settings) error {
 	limits := &settings.Params.Limits
 	// The memory limit of the platform covers the whole process, not just the heap,
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,7 +8,7 @@
 
 // Bounds of the platform's settings within which the service works.
 const (
-	minMemoryMB           = 24 // an idle process has about 20 MB resident
+	minMemoryMB           = 24 // an idle process occupies about 20 MB of resident memory
 	minTxnOps             = 2  // a change, and the removal of a key that it makes obsolete
 	minValueKB            = 6
 	minNextValueKB        = 2   // a job's description and one part of a task bitmap still fit
@@ -32,13 +32,13 @@
 	if p.Name == "" {
 		return fmt.Errorf("node_name: missing")
 	}
-	for _, f := range []struct{ field, value string }{
+	for _, address := range []struct{ field, value string }{
 		{"api_addr", p.APIAddr}, {"back", p.PeerAddr}, {"endpoints.cloud", p.Services.Cloud}, {"endpoints.state", p.Services.State},
 	} {
-		if f.value == "" {
-			return fmt.Errorf("%s: missing", f.field)
+		if address.value == "" {
+			return fmt.Errorf("%s: missing", address.field)
 		}
-		if err := checkAddress(f.field, f.value); err != nil {
+		if err := checkAddress(address.field, address.value); err != nil {
 			return err
 		}
 	}
@@ -78,7 +78,7 @@
 
 func (p *Platform) checkNumbers() error {
 	params := &p.Params
-	for _, a := range []numericField{
+	for _, number := range []numericField{
 		{"facts.workers.report_s", params.Workers.ReportS, 0}, {"facts.workers.lease_s", params.Workers.LeaseS, 0}, {"facts.workers.cancel_s", params.Workers.CancelS, 0},
 		{"facts.state.rps", params.State.RPS, 0}, {"facts.state.write_rps", params.State.WriteRPS, 0},
 		{"facts.state.value_kb", params.State.ValueKB, minValueKB}, {"facts.state.txn_ops", float64(params.State.TxnOps), minTxnOps},
@@ -86,16 +86,16 @@
 		{"facts.quota.core_share", params.Limits.CoreShare, 0}, {"facts.quota.ram_mb", params.Limits.MemoryMB, minMemoryMB},
 		{"facts.quota.fd_limit", float64(params.Limits.Files), 0},
 	} {
-		if !(a.value > 0) || math.IsInf(a.value, 0) {
-			return fmt.Errorf("%s: %v is not above 0", a.field, a.value)
+		if !(number.value > 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("%s: %v is not above 0", number.field, number.value)
 		}
-		if a.value < a.min {
-			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.min)
+		if number.value < number.min {
+			return fmt.Errorf("%s: %v: at least %v are needed", number.field, number.value, number.min)
 		}
 	}
-	for _, a := range []numericField{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: params.Cloud.ListLagS}} {
-		if !(a.value >= 0) || math.IsInf(a.value, 0) {
-			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
+	for _, number := range []numericField{{field: "facts.skew_ms", value: p.Params.SkewMS}, {field: "facts.cloud.list_lag_s", value: params.Cloud.ListLagS}} {
+		if !(number.value >= 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("%s: %v is below 0", number.field, number.value)
 		}
 	}
 	if params.Workers.LeaseS < minReportsPerLease*params.Workers.ReportS {
@@ -109,9 +109,9 @@
 func (p *Platform) checkGangTimes() error {
 	workers := &p.Params.Workers
 	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
-	for _, a := range []numericField{{field: wait, value: workers.GangWaitS}, {field: peer, value: workers.GangPeerS}} {
-		if !(a.value >= 0) || math.IsInf(a.value, 0) {
-			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
+	for _, number := range []numericField{{field: wait, value: workers.GangWaitS}, {field: peer, value: workers.GangPeerS}} {
+		if !(number.value >= 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("%s: %v is below 0", number.field, number.value)
 		}
 	}
 	switch {
@@ -131,19 +131,19 @@
 	return nil
 }
 
-// checkNextLimits checks the limits that the state service will switch to later. 0
-// means that a limit does not change.
+// checkNextLimits checks the limits that the state service will switch to later. A
+// limit of 0 means that the current limit stays as it is.
 func (p *Platform) checkNextLimits() error {
 	next := &p.Params.State.Next
-	for _, a := range []numericField{
+	for _, number := range []numericField{
 		{"facts.state.next.write_rps", next.WriteRPS, 0}, {"facts.state.next.value_kb", next.ValueKB, minNextValueKB},
 		{"facts.state.next.txn_ops", float64(next.TxnOps), minTxnOps},
 	} {
-		if !(a.value >= 0) || math.IsInf(a.value, 0) {
-			return fmt.Errorf("%s: %v is below 0", a.field, a.value)
+		if !(number.value >= 0) || math.IsInf(number.value, 0) {
+			return fmt.Errorf("%s: %v is below 0", number.field, number.value)
 		}
-		if a.value > 0 && a.value < a.min {
-			return fmt.Errorf("%s: %v: at least %v are needed", a.field, a.value, a.min)
+		if number.value > 0 && number.value < number.min {
+			return fmt.Errorf("%s: %v: at least %v are needed", number.field, number.value, number.min)
 		}
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -85,15 +85,15 @@
 type Objective struct {
 	Kind    string  `json:"kind"` // "wait" (for tasks to start), "finished" or "deadline"
 	Class   string  `json:"class"`
-	WithinS float64 `json:"within_s"` // time of a "wait" or "finished" objective
-	Times   float64 `json:"times"`    // multiple of a job's due time, of a "deadline" objective
+	WithinS float64 `json:"within_s"` // time limit of a "wait" or "finished" objective
+	Times   float64 `json:"times"`    // limit of a "deadline" objective, as a multiple of the due time
 }
 
 // Settings is the checked content of both files.
 type Settings struct {
 	Platform
 	Tuning      core.Tuning
-	RoundBudget time.Duration // processing time that one scheduling round may take
+	RoundBudget time.Duration // time that one dispatch round may take
 }
 
 // Load reads and checks both files; operatorPath may be empty. Its error is one
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,6 +28,7 @@
 	return p
 }
 
+// TestLoad checks that settings of both files reach the configuration of the core.
 func TestLoad(t *testing.T) {
 	settings, err := Load(writeFile(t, "s.json", validPlatform), writeFile(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
 	if err != nil {
@@ -97,7 +98,7 @@
 				t.Errorf("fd_limit %d, %d peers: got %+v with sum %d, want the sum to be fd_limit, DirectCommands at least 1 and Other at least 16 plus 6 for each peer", files, peers, limits, sum)
 			}
 			if files >= 1000 && limits.Public < files*4/5 {
-				t.Errorf("fd_limit %d: got %+v, want Public of at least four fifths", files, limits)
+				t.Errorf("fd_limit %d: got %+v, want Public of at least four fifths of fd_limit", files, limits)
 			}
 		}
 	}
@@ -116,7 +117,7 @@
 		}
 		got := s.Warnings()
 		if (len(got) > 0) != c.want || c.want && !strings.HasPrefix(got[0], "facts.workers.cancel_s: "+c.cancel+"s is less than") {
-			t.Errorf("lease_s 20, cancel_s %s: got warnings %q, want a warning: %v", c.cancel, got, c.want)
+			t.Errorf("lease_s 20, cancel_s %s: got warnings %q, want one about cancel_s: %v", c.cancel, got, c.want)
 		}
 	}
 }
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -63,7 +63,8 @@
 }
 
 // addGoals adds the objectives of each class of jobs. If a class has several
-// finish or deadline objectives, the strictest of each kind applies.
+// "finished" or "deadline" objectives, the strictest of each kind applies; of several
+// "wait" objectives the last one does.
 func (s *Settings) addGoals(cfg *core.Config) {
 	for _, objective := range s.Params.Objectives {
 		goal := cfg.Goals[objective.Class]
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,13 +19,13 @@
 
 // DispatchSettings tunes how tasks are assigned to machines.
 type DispatchSettings struct {
-	SkipLimit *int     `hcl:"skip_limit,optional"` // how often a job may be passed over by later jobs
-	BudgetMS  *float64 `hcl:"budget_ms,optional"`  // processing time that one scheduling round may take
+	SkipLimit *int     `hcl:"skip_limit,optional"` // how often tasks of later jobs may go before a waiting job's
+	BudgetMS  *float64 `hcl:"budget_ms,optional"`  // time that one dispatch round may take
 }
 
 // StateSettings tunes the writes to the state service.
 type StateSettings struct {
-	WriteEveryS *float64 `hcl:"write_every_s,optional"` // interval of the writes of a job's task bitmap
+	WriteEveryS *float64 `hcl:"write_every_s,optional"` // minimum time between two writes of a job's bitmap of finished tasks
 }
 
 // FleetSettings tunes when machines are rented from the cloud and returned to it.
@@ -33,9 +33,9 @@
 	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // boot times for which an idle machine is kept
 	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // boot times after which a rented machine that has never reported is given up
 	Patience      *float64 `hcl:"patience,optional"`       // share of a job's spare time to pass before more expensive machines are rented
-	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is kept free
-	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is kept free
-	MaxMachines   *int     `hcl:"max_machines,optional"`   // limit on the machines rented
+	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is reserved
+	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is reserved
+	MaxMachines   *int     `hcl:"max_machines,optional"`   // maximum number of machines; without it, as many as the cloud offers
 }
 
 // setting is one value of the operators' file with its inclusive bounds.
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -9,7 +9,7 @@
 }
 
 // socketsPerPeer bounds the connections from and to one other controller: one in
-// each direction, and connections that were cut off and have not timed out yet.
+// each direction, and at least as many again that were cut off and have not timed out.
 const socketsPerPeer = 6
 
 // SocketLimits divides the setting fd_limit. Workers keep their connections open,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 const maxLogLinesPerSecond = 200
 
 // maxTickInterval bounds the time between two ticks if the report interval is long.
-// A new leader queries its machines on ticks, so that longer ticks delay the takeover
+// A new leader queries its machines on ticks, so longer intervals delay its takeover
 // of a large fleet.
 const maxTickInterval = 100 * time.Millisecond
 
@@ -41,9 +41,9 @@
 	settings    *config.Settings
 	workerLease time.Duration // lease duration of the workers
 	startedAt   time.Time
-	// tickInterval is as long as the shortest interval between two scheduling rounds.
-	// Each tick wakes the process up, which costs more on a small machine than the
-	// work of the tick itself.
+	// tickInterval is as long as the shortest interval between two dispatch rounds, but
+	// at most maxTickInterval. Each tick wakes the process up, which costs more on a
+	// small machine than the work of the tick itself.
 	tickInterval time.Duration
 	state        *core.State
 
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// request is a request of a user or a worker. It gets exactly one reply soon after
-// the deadline at the latest.
+// request is a request of a user or a worker. It gets exactly one reply, at the latest
+// soon after its deadline.
 type request struct {
 	id       uint64
 	event    core.Event
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,9 +17,9 @@
 	return nil, errors.New("network unreachable")
 }
 
-// TestUrgentEventsGoBeforeReports checks that a leader handles the events that its
+// TestUrgentEventsGoBeforeReports checks that a controller handles the events that
 // leadership depends on before waiting reports. Otherwise a flood of reports delays the
-// renewal of the leadership, and the leader loses its term.
+// renewal of the leadership: a leader lost its term that way.
 func TestUrgentEventsGoBeforeReports(t *testing.T) {
 	c := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(),
 		pendingRequests: map[uint64]request{}, requests: make(chan request, 64), urgentEvents: make(chan core.Event, 64)}
