--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -33,6 +33,9 @@
 	return &Client{HTTP: http.DefaultClient, Timeout: 10 * time.Second, Now: func() time.Duration { return now }}
 }
 
+// TestCommands checks the request of a direct command and how each response to it is
+// understood. A response without a valid report of the worker must leave the outcome
+// unknown.
 func TestCommands(t *testing.T) {
 	report := `{"host":"n-000231","tenure":2,"tick":90,"epoch":41,"pieces":[{"piece":"req-000412/4","try":2,"phase":"pulling"}]}`
 	for _, c := range []struct {
@@ -53,7 +56,7 @@
 			t.Errorf("got request %s\nwant %s", *sent, want)
 		}
 		if result.Status != c.want || result.CallID != 3 || (result.Report != nil) != (c.want != 0) {
-			t.Errorf("response %d %s: got %+v, want CallID 3 and a report only with status 200 or 409", c.status, c.response, result)
+			t.Errorf("response %d %s: got %+v, want CallID 3, and the status and the report of a 200 or 409 response with a valid report, otherwise status 0 and no report", c.status, c.response, result)
 		}
 	}
 }
@@ -64,6 +67,6 @@
 func TestNothingIsSentAfterLeadershipExpired(t *testing.T) {
 	addr, sent := startFakeWorker(t, 200, `{}`)
 	if result := newClient(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, SendBefore: time.Second}); result.Status != 0 || *sent != "" {
-		t.Errorf("got request %q, want none", *sent)
+		t.Errorf("got request %q, want none and a result with status 0", *sent)
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -37,9 +37,9 @@
 	IsNearSocketLimit() bool
 }
 
-// Users wait 5 s for the response to a submission and 2 s for a poll, workers wait 4 s
-// for a report. The timeouts are shorter, so that the client gets a response before it
-// gives up.
+// Users wait 5 s for the response to a submission and 2 s for the response to a poll,
+// workers wait 4 s for the response to a report. The timeouts are shorter, so that the
+// client gets a response before it gives up.
 const (
 	submitTimeout = 4 * time.Second
 	pollTimeout   = 1800 * time.Millisecond
@@ -169,7 +169,8 @@
 const smallBody = 4 << 10
 
 // read reads a body of at most limit bytes. It rejects a longer body without reading it.
-// If there is not enough free memory for a body now, it responds with 503 and Retry-After.
+// If the bodies being read leave too little of freeBytes, it responds with 503 and
+// Retry-After.
 func (b *bodyReader) read(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	if r.ContentLength > limit {
 		rejectBody(w, &http.MaxBytesError{Limit: limit})
@@ -233,6 +234,8 @@
 	writeResponse(w, reply.Status, body, reply.RetryAfter)
 }
 
+// writeJSON writes a response with body encoded as JSON. A retryAfter of 0 seconds means
+// no Retry-After header.
 func writeJSON(w http.ResponseWriter, status int, body any, retryAfter int) {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -241,6 +244,7 @@
 	writeResponse(w, status, b, retryAfter)
 }
 
+// writeResponse writes a response with an encoded body, as writeJSON does.
 func writeResponse(w http.ResponseWriter, status int, body []byte, retryAfter int) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -18,6 +18,8 @@
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"build":"img-07","pullGb":6.2,"flavors":["g8"],"site":null,
  "samePlace":true,"scatter":false,"loaners":true,"guessS":240.0,"snapshotEveryS":30.0,"snapshotCostS":4.0,"dueS":900.0,"new":[1]}`
 
+// TestParseJob checks that a valid submission is decoded, and that the error for an
+// invalid one says which field is wrong, or that it is not a JSON object.
 func TestParseJob(t *testing.T) {
 	job, err := ParseJob([]byte(validJob))
 	if err != nil {
@@ -76,31 +78,33 @@
 	return w
 }
 
+// TestStatusCodes checks the status of the response for each path and method, and that
+// 503 comes with Retry-After.
 func TestStatusCodes(t *testing.T) {
-	ok := &fakeBackend{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
+	responding := &fakeBackend{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
 	overloaded := &fakeBackend{}
 	cases := []struct {
-		f                  *fakeBackend
+		backend            *fakeBackend
 		method, path, body string
 		status             int
 	}{
-		{ok, "POST", "/api/jobs", validJob, 200},
-		{ok, "POST", "/api/jobs", "{}", 400},
-		{ok, "GET", "/api/jobs", "", 405},
-		{ok, "GET", "/api/jobs/req-000001", "", 200},
-		{ok, "GET", "/api/jobs/nonsense", "", 404},
-		{ok, "DELETE", "/api/jobs/req-000001", "", 405},
-		{ok, "POST", "/api/jobs/req-000001/withdraw", "", 200},
-		{ok, "GET", "/api/jobs/req-000001/withdraw", "", 405},
-		{ok, "POST", "/agent/beat", `{"host":"n-1","tenure":1,"tick":2,"epoch":0,"pieces":[]}`, 200},
-		{ok, "POST", "/agent/beat", `{}`, 400},
-		{ok, "GET", "/up", "", 200},
-		{ok, "GET", "/elsewhere", "", 404},
+		{responding, "POST", "/api/jobs", validJob, 200},
+		{responding, "POST", "/api/jobs", "{}", 400},
+		{responding, "GET", "/api/jobs", "", 405},
+		{responding, "GET", "/api/jobs/req-000001", "", 200},
+		{responding, "GET", "/api/jobs/nonsense", "", 404},
+		{responding, "DELETE", "/api/jobs/req-000001", "", 405},
+		{responding, "POST", "/api/jobs/req-000001/withdraw", "", 200},
+		{responding, "GET", "/api/jobs/req-000001/withdraw", "", 405},
+		{responding, "POST", "/agent/beat", `{"host":"n-1","tenure":1,"tick":2,"epoch":0,"pieces":[]}`, 200},
+		{responding, "POST", "/agent/beat", `{}`, 400},
+		{responding, "GET", "/up", "", 200},
+		{responding, "GET", "/elsewhere", "", 404},
 		{overloaded, "POST", "/api/jobs", validJob, 503},
 		{overloaded, "GET", "/api/jobs/req-000001", "", 503},
 	}
 	for _, c := range cases {
-		w := serveRequest(c.f, c.method, c.path, c.body)
+		w := serveRequest(c.backend, c.method, c.path, c.body)
 		if w.Code != c.status {
 			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, w.Code, c.status)
 		}
@@ -110,6 +114,8 @@
 	}
 }
 
+// TestLongBodyRefusedUnread checks that a body above the limit is refused and that its
+// connection is closed: the unread rest would otherwise be read as the next request.
 func TestLongBodyRefusedUnread(t *testing.T) {
 	w := serveRequest(&fakeBackend{ok: true}, "POST", "/api/jobs", `{"id":"`+strings.Repeat("x", 70<<10)+`"}`)
 	if w.Code != 400 || w.Header().Get("Connection") != "close" {
@@ -117,9 +123,9 @@
 	}
 }
 
-// TestLargeBodiesShareMemoryLimit checks that long bodies that are being read take a
-// bounded part of the memory. A client with a long body beyond that gets 503 with
-// Retry-After at once, and short requests are still served.
+// TestLargeBodiesShareMemoryLimit checks that the long bodies being read take a bounded
+// part of the memory. A client with a long body beyond that gets 503 with Retry-After at
+// once, and short requests are still served.
 func TestLargeBodiesShareMemoryLimit(t *testing.T) {
 	backend := &fakeBackend{reply: core.Reply{Status: 200, Body: core.ReportReply{}}, ok: true}
 	handler := Handler(backend, 20<<10)
@@ -191,6 +197,8 @@
 	}
 }
 
+// TestReportAndOrdersWireFormat checks the JSON names of a report and of the orders in its
+// reply.
 func TestReportAndOrdersWireFormat(t *testing.T) {
 	backend := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{Epoch: 41, Orders: []model.Order{
 		{Verb: model.OrderStart, Task: "req-000412/4", Attempt: 2},
@@ -200,12 +208,12 @@
 	 "tenure":1,"tick":88,"epoch":41,"recallS":7.5,"pieces":[{"piece":"req-000412/3","try":2,"phase":"exited","cause":"done"}]}`)
 	want := `{"epoch":41,"orders":[{"verb":"start","piece":"req-000412/4","try":2},{"verb":"kill","piece":"req-000377/1","try":1,"windDownS":0}]}`
 	if w.Body.String() != want {
-		t.Errorf("got orders %s, want the verbs, tasks and attempts of the reply", w.Body)
+		t.Errorf("got reply %s, want epoch 41, a start of req-000412/4 as attempt 2, and a kill of req-000377/1, attempt 1, with windDownS 0", w.Body)
 	}
 	got, _ := json.Marshal(backend.lastEvent)
 	for _, part := range []string{`"host":"n-000231"`, `"recallS":7.5`, `"tick":88`, `"cause":"done"`} {
 		if !strings.Contains(string(got), part) {
-			t.Errorf("want a report that contains %s, got %s", part, got)
+			t.Errorf("got event %s, want it to contain %s", got, part)
 		}
 	}
 	if backend.lastEvent.(core.WorkerReport).Report.Seq != 88 || http.StatusOK != w.Code {
@@ -227,9 +235,9 @@
 	// Users keep theirs.
 	backend := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, nearSocketLimit: true}
 	if w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
-		t.Errorf("few sockets left: got status %d for a worker, want 200 and a closed connection", w.Code)
+		t.Errorf("few sockets left: worker got status %d, want 200 and a closed connection", w.Code)
 	}
 	if w := serveRequest(backend, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
-		t.Error("few sockets left: got a closed connection of a user, want it kept")
+		t.Error("few sockets left: connection of a user got closed, want it kept")
 	}
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -12,7 +12,7 @@
 	"mulleinfall/internal/model"
 )
 
-// Validation of submissions.
+// This file decodes and validates submissions.
 
 // isValidJobID reports whether id has the form of a job id: "req-" and 6 to 20 digits.
 func isValidJobID(id string) bool {
--- a/internal/doc_test.go
+++ b/internal/doc_test.go
@@ -77,6 +77,8 @@
 	return !ok || name.IsExported()
 }
 
+// undocumentedSpec returns the exported names of one specification in d that neither it nor
+// d documents.
 func undocumentedSpec(d *ast.GenDecl, spec ast.Spec) []string {
 	var names []string
 	switch s := spec.(type) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer sends messages between controllers, encoded as msgpack over one TCP
+// Package peer carries messages between controllers, encoded as msgpack over one TCP
 // connection in each direction. Messages may be lost or late, which the core tolerates.
 package peer
 
@@ -57,7 +57,8 @@
 }
 
 // Run sends the queued messages until ctx is cancelled. It connects when there is a
-// message to send, and connects again after an error.
+// message to send. A message whose sending fails is lost; the next one opens a new
+// connection.
 func (l *Link) Run(ctx context.Context) {
 	var conn net.Conn
 	closeConn := func() {
@@ -125,7 +126,7 @@
 }
 
 // ReadFrames reads frames from a connection and delivers their messages until the
-// connection ends.
+// connection ends. Its error is nil if the connection ends between two frames.
 func ReadFrames(r io.Reader, deliver func(from string, m core.PeerMsg)) error {
 	reader := bufio.NewReader(r)
 	var lengthPrefix [4]byte
@@ -152,7 +153,8 @@
 	}
 }
 
-// Serve accepts connections of peers until ctx is cancelled.
+// Serve accepts connections of peers and delivers their messages. It returns when
+// accepting fails and ctx is cancelled; after other failures it goes on.
 func Serve(ctx context.Context, ln net.Listener, deliver func(from string, m core.PeerMsg)) error {
 	for {
 		conn, err := ln.Accept()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,6 +9,8 @@
 	"mulleinfall/internal/core"
 )
 
+// TestFramesRoundTrip checks that messages and their sender are the same after encoding and
+// decoding.
 func TestFramesRoundTrip(t *testing.T) {
 	msgs := []core.PeerMsg{
 		{Kind: core.MsgVoteRequest, Term: 7, Sent: 3 * time.Second, StoreOK: true, StoreAge: time.Millisecond},
@@ -37,6 +39,8 @@
 	}
 }
 
+// TestBadFramesEndTheConnection checks that an invalid frame is an error, which ends the
+// connection, and that no message of it is delivered.
 func TestBadFramesEndTheConnection(t *testing.T) {
 	for name, frame := range map[string][]byte{
 		"too long":  {0xff, 0xff, 0xff, 0xff},
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -61,10 +61,10 @@
 			items = append(items, key)
 		}
 		result.Items = nil
-		a, _ := json.Marshal(result)
-		b, _ := json.Marshal(c.want)
-		if string(a) != string(b) || strings.Join(items, " ") != c.wantItemKeys {
-			t.Errorf("%s: got %s %v\nwant %s %s", c.call.Op, a, items, b, c.wantItemKeys)
+		gotJSON, _ := json.Marshal(result)
+		wantJSON, _ := json.Marshal(c.want)
+		if string(gotJSON) != string(wantJSON) || strings.Join(items, " ") != c.wantItemKeys {
+			t.Errorf("%s: got result %s with items %v\nwant %s with items %s", c.call.Op, gotJSON, items, wantJSON, c.wantItemKeys)
 		}
 	}
 }
@@ -72,8 +72,8 @@
 // jsonInt returns a number as JSON.
 func jsonInt(v uint64) string { b, _ := json.Marshal(v); return string(b) }
 
-// TestBrokenResponseMeansUnknownOutcome checks that a broken response is not treated as a
-// refusal, because the change may have been made.
+// TestBrokenResponseMeansUnknownOutcome checks that a response that ends before its
+// Content-Length is not treated as a refusal, because the change may have been made.
 func TestBrokenResponseMeansUnknownOutcome(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -82,6 +82,6 @@
 	defer srv.Close()
 	client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
 	if result := client.Do(context.Background(), core.StoreCall{Op: core.StoreTxn, Timeout: 10 * time.Second}); result.Status != 0 {
-		t.Errorf("got status %d, want 0", result.Status)
+		t.Errorf("truncated response: got status %d, want 0", result.Status)
 	}
 }
--- a/internal/web/limit.go
+++ b/internal/web/limit.go
@@ -20,7 +20,7 @@
 	return &LimitedListener{Listener: ln, slots: make(chan struct{}, maxConns)}
 }
 
-// IsNearLimit reports whether three quarters of the allowed connections are open.
+// IsNearLimit reports whether at least three quarters of the allowed connections are open.
 func (l *LimitedListener) IsNearLimit() bool { return len(l.slots)*4 >= cap(l.slots)*3 }
 
 // Accept waits for a connection that is within the limit.
--- a/internal/web/limit_test.go
+++ b/internal/web/limit_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestLimitedListenerClosesExcessConnections checks that connections beyond the limit are
-// closed at once, and that the listener reports before that point that the limit is near.
+// closed at once, so that the other uses of the process find file descriptors, and that
+// the listener reports before that point that the limit is near.
 func TestLimitedListenerClosesExcessConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +45,7 @@
 		open = append(open, <-accepted)
 	}
 	if _, err := dial().Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read from a fifth connection: got %v, want that the connection is closed", err)
+		t.Errorf("read from a fifth connection: got error %v, want EOF or connection reset", err)
 	}
 	open[0].Close()
 	open[0].Close() // must not free a second slot
--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -4,9 +4,9 @@
 //
 // It replaces http.Server, which used more processor time of a leader on a small
 // machine than scheduling did: for each request it starts a second goroutine and a
-// second read to detect that the client disconnects, a context and three timers. The
-// handlers here don't use the context of a request, and they bound the work for a
-// client that has disconnected.
+// second read to detect that the client disconnects, and creates a context and three
+// timers. The handlers here don't use the context of a request, and they bound the work
+// for a client that has disconnected.
 package web
 
 import (
@@ -30,7 +30,7 @@
 const (
 	readBufferBytes = 2 << 10
 	maxHeaderBytes  = 16 << 10
-	maxUnreadBytes  = 4 << 10 // if a handler leaves more of a body unread, the connection is closed
+	maxUnreadBytes  = 4 << 10 // if a handler leaves this much of a body unread, the connection is closed
 )
 
 // Server serves the connections of a listener. It handles one request at a time on
@@ -43,9 +43,9 @@
 
 	// admission is held by one request at a time, from when it is read until its
 	// handler has passed it to the core and calls AdmitNext. Without it, when hundreds
-	// of machines report at once on a slow processor, all reports would be read and
-	// decoded before the one goroutine that runs the core was scheduled again, and a
-	// leader would not renew its leadership in time.
+	// of machines report at once on a slow processor, all reports are read and decoded
+	// before the one goroutine that runs the core is scheduled again, and a leader misses
+	// the renewals of its leadership.
 	admission sync.Mutex
 }
 
@@ -80,7 +80,8 @@
 	}
 }
 
-// Serve accepts connections until ctx is cancelled or the listener is closed.
+// Serve accepts connections until the listener is closed. After ctx is cancelled it also
+// returns on any other error of the listener.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	for {
 		c, err := ln.Accept()
@@ -205,7 +206,7 @@
 }
 
 // rejectStatus returns the status for a request that could not be read, or 0 if the
-// client has disconnected or has sent nothing.
+// connection was closed, failed or timed out.
 func (h *headReader) rejectStatus(err error) int {
 	var netErr net.Error
 	switch {
@@ -282,7 +283,7 @@
 // isLast reports whether the connection is closed after this response.
 func (r *response) isLast() bool { return r.header.Get("Connection") == "close" }
 
-// send writes the response to the connection, without its body for headOnly.
+// send writes the response to the connection, without its body if headOnly is set.
 func (r *response) send(conn net.Conn, headOnly bool) error {
 	r.WriteHeader(http.StatusOK)
 	fmt.Fprintf(&r.output, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status))
--- a/internal/web/web_test.go
+++ b/internal/web/web_test.go
@@ -142,10 +142,10 @@
 	}
 	connTwo := connect("GET /two HTTP/1.1\r\nHost: x\r\n\r\n")
 	if server.admission.TryLock() {
-		t.Error("got free admission while a request holds it, want it locked")
+		t.Error("admission while a request holds it: got free, want locked")
 	}
 	if len(started) != 0 {
-		t.Errorf("got %s started before the request ahead called AdmitNext, want none", <-started)
+		t.Errorf("requests started before /one called AdmitNext: got %s, want none", <-started)
 	}
 	admit <- true
 	if got := <-started; got != "/two" {
