--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -39,15 +39,15 @@
 // watchCancellation returns the record of j's cancellation and creates it if there is
 // none. It returns nil if there are too many records.
 func (s *State) watchCancellation(j *job, revision uint64) *cancellationRecord {
-	if c := s.watched[j.ID]; c != nil {
-		return c
+	if record := s.watched[j.ID]; record != nil {
+		return record
 	}
 	if len(s.watched) >= maxWatchedCancellations {
 		return nil
 	}
-	c := &cancellationRecord{job: j, revision: revision}
-	s.watched[j.ID] = c
-	return c
+	record := &cancellationRecord{job: j, revision: revision}
+	s.watched[j.ID] = record
+	return record
 }
 
 // logCancellationLearnt logs that this controller has learnt of a cancellation.
@@ -65,12 +65,12 @@
 	if j.phase != model.PhaseAborted {
 		return
 	}
-	c := s.watched[j.ID]
-	if c == nil || c.confirmed {
+	record := s.watched[j.ID]
+	if record == nil || record.confirmed {
 		return
 	}
-	c.confirmed = true
-	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", c.revision, "known_for", s.now-j.finalSeenAt, "leading", s.IsLeader())
+	record.confirmed = true
+	s.log(slog.LevelInfo, "cancellation confirmed", "job", j.ID, "rev", record.revision, "known_for", s.now-j.finalSeenAt, "leading", s.IsLeader())
 }
 
 // recordStopsSent records the stops of cancelled jobs' tasks among the orders sent to a
@@ -90,15 +90,15 @@
 	if j == nil || j.phase != model.PhaseAborted {
 		return
 	}
-	c := s.watchCancellation(j, 0)
-	if c == nil {
+	record := s.watchCancellation(j, 0)
+	if record == nil {
 		return
 	}
-	if c.stopCount == 0 {
-		c.firstStopAt = s.now
+	if record.stopCount == 0 {
+		record.firstStopAt = s.now
 	}
-	c.stopCount++
-	c.lastStopAt = s.now
+	record.stopCount++
+	record.lastStopAt = s.now
 	s.logDebug("stop of a cancelled task sent", "task", task, "host", host, "by", sentBy, "term", s.leadership.Term)
 }
 
@@ -131,15 +131,15 @@
 	var oldest *cancellationRecord
 	outstanding := 0
 	for _, id := range sortedKeys(s.watched) {
-		c := s.watched[id]
-		if s.IsLeader() && (len(c.job.tasks) > 0 || orphanedJobs[id]) {
+		record := s.watched[id]
+		if s.IsLeader() && (len(record.job.tasks) > 0 || orphanedJobs[id]) {
 			outstanding++
-			if oldest == nil || c.job.finalSeenAt < oldest.job.finalSeenAt {
-				oldest = c
+			if oldest == nil || record.job.finalSeenAt < oldest.job.finalSeenAt {
+				oldest = record
 			}
 			continue
 		}
-		s.endCancellationWatch(id, c)
+		s.endCancellationWatch(id, record)
 	}
 	if oldest == nil {
 		return
@@ -155,14 +155,14 @@
 // endCancellationWatch removes the record of a cancellation when the tasks are gone as far
 // as this leader can know. Without a leader's complete view, it removes the record after
 // cancel_s.
-func (s *State) endCancellationWatch(id string, c *cancellationRecord) {
-	knownFor := s.now - c.job.finalSeenAt
+func (s *State) endCancellationWatch(id string, record *cancellationRecord) {
+	knownFor := s.now - record.job.finalSeenAt
 	switch {
 	case s.IsLeader() && s.takeoverComplete:
 		delete(s.watched, id)
-		if c.stopCount > 0 {
-			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", knownFor, "stops", c.stopCount,
-				"first_stop_after", c.firstStopAt-c.job.finalSeenAt, "last_stop_after", c.lastStopAt-c.job.finalSeenAt, "term", s.leadership.Term)
+		if record.stopCount > 0 {
+			s.log(slog.LevelInfo, "cancelled tasks gone", "job", id, "known_for", knownFor, "stops", record.stopCount,
+				"first_stop_after", record.firstStopAt-record.job.finalSeenAt, "last_stop_after", record.lastStopAt-record.job.finalSeenAt, "term", s.leadership.Term)
 		}
 	case knownFor > s.cfg.CancelWithin:
 		delete(s.watched, id)
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -15,7 +15,7 @@
 // take. A late renewal without the stop would let the task run for longer than cancel_s.
 func TestAnswersCarryStops(t *testing.T) {
 	const host, cancelled = "n-1", "req-000001/0"
-	for _, c := range []struct {
+	for _, row := range []struct {
 		name string
 		// report returns a report of session 1.
 		report func(s *State, m *machine) *model.Report
@@ -44,16 +44,16 @@
 			return r
 		}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			s := newSingleController()
 			s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
 			s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
 			s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 			m := s.ensureMachine(host)
 			m.session, m.seq, m.reconciled, m.registered, m.hasReported = 1, 5, true, true, true
-			r := c.report(s, m)
+			r := row.report(s, m)
 			r.Host, r.Session = host, 1
-			if !c.hidden {
+			if !row.hidden {
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: cancelled, Attempt: 9, State: model.TaskRunning})
 			}
 			startEpoch := s.epoch(m)
@@ -74,7 +74,7 @@
 				if !containsImmediateStop(orders, cancelled, 9) {
 					t.Errorf("got %d orders in the answer without a stop of %s", len(orders), cancelled)
 				}
-				if epoch := reply.Body.(ReportReply).Epoch; c.hidden && epoch <= startEpoch {
+				if epoch := reply.Body.(ReportReply).Epoch; row.hidden && epoch <= startEpoch {
 					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher one", startEpoch, epoch)
 				}
 				if len(orders) > maxOrders {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -11,10 +11,10 @@
 // direct query. Late copies of reports can arrive at any time.
 
 // handleReport handles a report that a worker sent on its own.
-func (s *State) handleReport(e WorkerReport) {
+func (s *State) handleReport(event WorkerReport) {
 	s.steppedDownUnreached = false
-	r := &e.Report
-	if s.refuseReport(e.RequestID, r) {
+	r := &event.Report
+	if s.refuseReport(event.RequestID, r) {
 		return
 	}
 	_, known := s.machines[r.Host]
@@ -23,7 +23,7 @@
 		m.preexisting = s.newMachinesArePreexisting()
 	}
 	s.describeMachine(m, r.Endpoint, r.Type, r.Zone, r.Spot)
-	s.classifyReport(pendingReport{requestID: e.RequestID, machine: m, report: r, receivedAt: s.now})
+	s.classifyReport(pendingReport{requestID: event.RequestID, machine: m, report: r, receivedAt: s.now})
 }
 
 // refuseReport refuses a report on which this controller must not act, and says whether
