--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -23,8 +23,10 @@
 type cancellationState struct {
 	// unacknowledged holds the cancelled jobs that the leader may not know of, with the
 	// modification revision of each.
-	unacknowledged       map[string]uint64
-	pendingConfirmations []pendingConfirmation // users whose answers wait for the leader's acknowledgement
+	unacknowledged map[string]uint64
+	// pendingConfirmations holds the users whose answers wait for the leader's
+	// acknowledgement.
+	pendingConfirmations []pendingConfirmation
 }
 
 // pendingConfirmation is a user who waits for the status of a cancelled job.
@@ -68,7 +70,8 @@
 	}
 }
 
-// acknowledgeUpTo records that the current leader knows of all changes up to revision.
+// acknowledgeUpTo records that the current leader knows of all changes up to a revision
+// of the state service.
 func (s *State) acknowledgeUpTo(revision uint64) {
 	for id, modRevision := range s.unacknowledged {
 		if modRevision <= revision {
@@ -146,7 +149,7 @@
 
 // replyWithStatus answers a user with the status of j. A cancellation that may not be
 // confirmed yet is sent to the other controllers first. If the leader does not acknowledge
-// it within half of userRequestTimeout, the user is told to retry later.
+// it within half of userRequestTimeout, the user gets a "retry later" reply.
 func (s *State) replyWithStatus(user requester, j *job) {
 	if s.canConfirm(j) {
 		s.logCancellationConfirmed(j)
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -16,13 +16,13 @@
 	nextPlanAt        time.Duration
 	rentalsInFlight   int    // rental requests under way
 	lastRentalNumber  uint64 // number of the last rental request of this term
-	rentalUnconfirmed bool   // a rental had no answer: its machines may turn up unannounced
+	rentalUnconfirmed bool   // a rental had no answer: its machines may appear unannounced
 	returnInFlight    bool
 	// refusedOffers holds the offers for which the cloud had no capacity. Each is requested
 	// again after a pause that grows.
 	refusedOffers        map[offerKey]*refusal
 	returnedAt           map[string]time.Duration // when each machine was returned, by host
-	zones                map[string]zoneState     // updated each second
+	zones                map[string]zoneState     // updated once per second
 	zoneUnreachableSince map[string]time.Duration // since when a zone has been unreachable
 	zoneRecoveredAt      map[string]time.Duration // when a zone last became reachable again
 	limitLogged          bool                     // the log says that the limit on machines was reached
@@ -183,9 +183,9 @@
 	}
 }
 
-// newMachinesArePreexisting says whether a machine that turns up now must belong to the
+// newMachinesArePreexisting says whether a machine that appears now must belong to the
 // operators: this is the service's first term, and no machine of an unconfirmed rental
-// can turn up.
+// can appear.
 func (s *State) newMachinesArePreexisting() bool {
 	return s.firstTerm && !s.rentalUnconfirmed
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -85,7 +85,8 @@
 	return s.now-m.lastHeardAt > 2*s.cfg.ReportInterval || m.reachability.unreachable && m.highestEpoch < m.reachability.recoveryEpoch
 }
 
-// sendUnsentOrders sends the unsent starts and stops of m by a direct command.
+// sendUnsentOrders sends the unsent starts and stops of m by a direct command, 100 of them
+// at most.
 func (s *State) sendUnsentOrders(m *machine) {
 	var unsent []*task
 	for _, t := range m.tasks {
@@ -105,7 +106,7 @@
 			starts = append(starts, t)
 		} else if t.stopping && t.stopRequestedAt != 0 && t.state != "" {
 			orders = append(orders, t.killOrder())
-			t.stopRequestedAt = 0 // sent directly once; answers to reports repeat it
+			t.stopRequestedAt = 0 // the stop is sent directly once; answers to reports repeat it
 		}
 	}
 	if len(orders) > 0 {
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -94,8 +94,8 @@
 }
 
 // isUrgent says whether j can no longer wait for capacity on present machines or for
-// cheaper ones. That is so once it has waited for a share, fleet.patience, of the time that
-// the goals of its class leave besides boot, fetch and run.
+// cheaper ones. Only batch jobs can wait, until a share (fleet.patience) has passed of the
+// time that the goals of their class leave besides boot, fetch and run.
 func (s *State) isUrgent(j *job) bool {
 	if j.Kind != model.KindBatch {
 		return true
@@ -116,7 +116,8 @@
 	return s.jobAge(j) >= time.Duration(s.cfg.Patience*float64(spare))
 }
 
-// completionTarget is the time within which j should be done after its submission.
+// completionTarget is the time within which j should be done after its submission. A job
+// without a goal and a due time gets cancel_s.
 func (s *State) completionTarget(j *job) time.Duration {
 	goal := s.cfg.Goals[j.Class]
 	switch {
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -16,12 +16,12 @@
 type takeoverState struct {
 	takeoverComplete bool       // every task of jobs from before this term is accounted for
 	scanNext         int        // index in machinesByName: the machines before it are accounted for
-	scanCount        int        // machines checked so far, for MachinesScanned
-	unaccountedFor   []*machine // machines unaccounted for in the current dispatch round
+	scanCount        int        // checks of machines so far, for MachinesScanned
+	unaccountedFor   []*machine // machines not accounted for in the current dispatch round
 }
 
 // leaseEndsAt is when m's lease has certainly expired, if no controller renews it
-// again. The margin covers the drift of both clocks and 1/32 of a lease.
+// again. The margin is four times the bound on clock drift, and 1/32 of a lease.
 func (s *State) leaseEndsAt(m *machine) time.Duration {
 	lease := s.cfg.Lease
 	return m.lastReplyAt + lease + time.Duration(float64(lease)*4*ClockDrift) + lease/32
@@ -49,8 +49,7 @@
 // isUnaccounted says whether m may run tasks that this leader has not seen.
 func (s *State) isUnaccounted(m *machine) bool { return m.registered && !m.reconciled && !m.noOldTasks }
 
-// MachinesScanned is how many times a machine was checked until the takeover was
-// complete.
+// MachinesScanned is how many checks of single machines the takeover has taken so far.
 func (s *State) MachinesScanned() int { return s.scanCount }
 
 // checkTakeoverComplete completes the takeover once every task of older jobs is
@@ -59,8 +58,8 @@
 	if s.takeoverComplete || !s.IsLeader() {
 		return
 	}
-	// This runs for each report. Checking all machines each time would make the work
-	// of a takeover quadratic in the number of machines.
+	// This runs for each report. If it checked all machines each time, the work of a
+	// takeover would be quadratic in the number of machines.
 	for ; s.scanNext < len(s.machinesByName); s.scanNext++ {
 		s.scanCount++
 		if s.isUnaccounted(s.machinesByName[s.scanNext]) {
@@ -101,9 +100,10 @@
 	return false
 }
 
-// wasReclaimed says whether the cloud has reclaimed m, as its notice announced. Such a
-// machine is returned by name, which makes certain that it is gone: then its tasks need
-// not wait until its lease expires, nor a new leader until it reports.
+// wasReclaimed says whether the cloud has reclaimed m, as its notice announced: the time
+// is over by a second, and m has not reported since. Such a machine is returned by name,
+// which makes certain that it is gone. Then its tasks need not wait until its lease
+// expires, nor the older jobs of a new leader until it reports.
 func (s *State) wasReclaimed(m *machine) bool {
 	return m.reclaimAt != 0 && s.now >= m.reclaimAt+time.Second && m.lastHeardAt < m.reclaimAt
 }
@@ -121,22 +121,23 @@
 }
 
 // isPresumedLost says whether m, which has not been heard of in this term, is given up
-// although its lease may still run. That is so when it did not answer a command and at
-// most 1/32 of the reachable machines are unaccounted for. Older jobs wait until all
-// machines are accounted for; without this rule, a few machines that failed together with
-// the former leader would delay all of these jobs by a lease. Machines in unreachable
-// zones are not counted: when they were, with one of three zones cut off, nine machines
-// delayed all older jobs of the other two zones.
+// although its lease may still run. That is so when it did not answer a command, has had
+// the time to find this controller, and at most 1/32 of the reachable machines are
+// unaccounted for. Older jobs wait until all machines are accounted for; without this
+// rule, a few machines that failed together with the former leader would delay all of
+// these jobs by a lease. Machines in unreachable zones are not counted: when they were,
+// with one of three zones cut off, nine machines delayed all older jobs of the other two.
 func (s *State) isPresumedLost(m *machine) bool {
 	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
 		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
 // isUnresponsive says whether m is given up before its lease expires. All of these must
-// hold: m has a service of the highest priority, or a task of a gang whose other tasks
-// wait until this one has ended; m has been silent for half a lease; and most machines
-// report, so that this controller is not at fault. Returning the machine takes less time
-// than waiting for its lease, during which the service would be down.
+// hold: m has a service of the highest priority, or a task of a gang, whose other tasks
+// wait until this one has ended; m has listed its tasks in this term, but has been silent
+// for half a lease; the term has lasted for a lease; and most machines report, so that
+// this controller is not at fault. Returning the machine takes less time than waiting for
+// its lease, during which the service would be down.
 func (s *State) isUnresponsive(m *machine) bool {
 	maxSilence := s.cfg.Lease / 2
 	if !m.reconciled || s.now-m.lastHeardAt < maxSilence || s.now-s.electedAt < s.cfg.Lease {
@@ -152,9 +153,10 @@
 	return s.mostMachinesReport()
 }
 
-// mostMachinesReport says whether at least nine tenths of the reconciled machines, not
-// counting one, have reported recently. If so, a machine that does not report is at
-// fault itself, and not this controller or the network.
+// mostMachinesReport says whether at least nine tenths of the reconciled machines have
+// reported within the last two report intervals. One machine, the one in question, is not
+// counted in the total. If so, a machine that does not report is at fault itself, and not
+// this controller or the network.
 func (s *State) mostMachinesReport() bool {
 	reconciled, reporting := 0, 0
 	for _, m := range s.machinesByName {
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -10,7 +10,8 @@
 // maxReturnBatch is how many machines one call to the cloud may return (PROTOCOL).
 const maxReturnBatch = 100
 
-// returnMachines returns machines that are lost, have never reported, or are idle.
+// returnMachines returns the machines that disposition chooses, mainly those that are lost,
+// have never reported, or are idle.
 func (s *State) returnMachines() {
 	if s.returnInFlight {
 		return
@@ -72,7 +73,7 @@
 		return returnNow
 	case s.zones[m.zone].unreachable:
 		// The machines are most likely only cut off. Their tasks go on, or can run there
-		// again later, and a machine that has lost its tasks still holds its images.
+		// again later, and a machine whose tasks have ended still holds its images.
 		return keepMachine
 	case s.isUnresponsive(m), s.isPresumedLost(m):
 		return returnNow
@@ -101,9 +102,9 @@
 	return keepMachine
 }
 
-// isLostForGood says whether m is given up half a lease after its lease has expired, or
-// after its zone has recovered. It is not while no machine reports, because then this
-// controller is more likely to be cut off.
+// isLostForGood says whether m, whose lease has expired, is given up: half a lease after
+// that, or after its zone has recovered, whichever is later. It is kept while no machine
+// reports, because then this controller is more likely to be cut off.
 func (s *State) isLostForGood(m *machine) bool {
 	return s.now-max(s.leaseEndsAt(m), s.zoneRecoveredAt[m.zone]) > s.cfg.Lease/2 && s.now-s.lastReportAt < 2*s.cfg.ReportInterval
 }
@@ -159,7 +160,8 @@
 	}
 }
 
-// bootTimeout is how long m may take from its rental to its first report.
+// bootTimeout is how long m may take from its rental to its first report: the configured
+// multiple of its boot time.
 func (s *State) bootTimeout(m *machine) time.Duration {
 	bootS := 30.0
 	if m.machineType != nil {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -16,9 +16,9 @@
 	machineType     *model.MachineType
 	typeName, zone  string
 	spot            bool
-	view            sched.Machine
-	viewStale       bool // the view must be recomputed from the tasks
-	hasUnsentOrders bool // there may be starts or stops that have not been sent
+	view            sched.Machine // the machine as the dispatcher sees it
+	viewStale       bool          // the view must be recomputed from the tasks
+	hasUnsentOrders bool          // there may be starts or stops that have not been sent
 
 	session, seq uint64 // of the last report that was applied
 	highestEpoch uint64 // highest epoch that its reports have shown
@@ -46,10 +46,14 @@
 	// returnUnconfirmed says that a return had no answer, so that the machine may
 	// disappear at any moment.
 	returnUnconfirmed bool
-	returnLogged      bool          // the log says that it is being returned
-	failed            bool          // the cloud reports that it has failed
-	lastHeardAt       time.Duration // last report of any kind
-	lastReplyAt       time.Duration // receipt of the last report that was answered with 200
+	returnLogged      bool // the log says that it is being returned
+	failed            bool // the cloud reports that it has failed
+	// lastHeardAt is when its last report of any kind came, also one that answers a direct
+	// command. At first it is the election, or 0 for a machine that is new in this term.
+	lastHeardAt time.Duration
+	// lastReplyAt is when the last report came that may have been answered with 200. Its
+	// lease counts from then (leaseEndsAt).
+	lastReplyAt       time.Duration
 	rentedAt          time.Duration
 	idleSince         time.Duration
 	reclaimAt         time.Duration // when the cloud will reclaim it; 0: no notice
@@ -70,12 +74,12 @@
 	lastProbeAt          time.Duration // when a stale report last caused a probe
 	hasUnansweredCommand bool          // a direct command had no answer in this term
 	commandInFlight      bool          // a direct command is under way
-	nextCommandAt        time.Duration // no direct command is sent before
+	nextCommandAt        time.Duration // it gets no orders and probes before, except probes that a report calls for
 	unconfirmedEpoch     uint64        // highest epoch of a direct command with orders and no answer
 
-	reservedFor   *job // free capacity is reserved for this job
+	reservedFor   *job // its free capacity is reserved for this job
 	reservedUntil time.Duration
-	draining      bool // the reservation waits for tasks to end by themselves; none are preempted
+	draining      bool // the reservation waits for tasks to end by themselves: none was preempted for it
 }
 
 // ensureMachine returns the record of host and creates it if there is none.
@@ -149,8 +153,8 @@
 	m.viewStale, m.hasUnsentOrders = true, false
 }
 
-// takeOver begins a term. It sends an empty command under the new epoch to every
-// machine to which a former leader may have given tasks. The command asks for the
+// takeOver begins a term. It begins to send an empty command under the new epoch to
+// every machine to which a former leader may have given tasks. The command asks for the
 // machine's tasks and fences off commands of earlier epochs.
 func (s *State) takeOver() {
 	s.log(slog.LevelInfo, "leading", "term", s.leadership.Term, "jobs", len(s.active), "machines", len(s.machines))
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -19,7 +19,7 @@
 	unreachable        bool          // answers and commands do not reach it
 	missedDeliveries   int           // missed deliveries in a row
 	unreachableCount   int           // how often it was found unreachable
-	recoveryEpoch      uint64        // a report with this epoch shows that a later command has arrived
+	recoveryEpoch      uint64        // a report with it or a higher one shows that a later command has arrived
 	firstUnreachableAt time.Duration // when it was first found unreachable
 	earliestRecoveryAt time.Duration // it stays unreachable at least until then
 }
@@ -90,10 +90,10 @@
 	}
 }
 
-// isUnreachableTooLong says whether m should be returned, because it has been unreachable
-// for more than three leases or more than twice, while most machines report. If commands
-// arrive and only answers do not, the machine recovers each time, and each of its sessions
-// would end all tasks that run for longer than a lease.
+// isUnreachableTooLong says whether m should be returned: it is unreachable, it was first
+// found so more than three leases ago or has been found so more than twice, and most
+// machines report. If commands arrive and only answers do not, the machine recovers each
+// time, and each of its sessions would end all tasks that run for longer than a lease.
 func (s *State) isUnreachableTooLong(m *machine) bool {
 	return m.reachability.unreachable && (s.now-m.reachability.firstUnreachableAt > 3*s.cfg.Lease || m.reachability.unreachableCount > 2) && s.mostMachinesReport()
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -15,7 +15,7 @@
 // capacity for, and for the capacity to keep free for services and gangs.
 func (s *State) rentMissing() {
 	if s.rentalsInFlight > 0 {
-		return // the machines under way must not be requested twice
+		return // machines that are being requested must not be requested twice
 	}
 	demands := s.demands()
 	if len(demands) == 0 {
@@ -66,8 +66,8 @@
 }
 
 // requestRental requests machines from the cloud. The name of the request contains the
-// term, so that no two requests have the same name. A retry of an unanswered request uses
-// the same name again, so that it is not carried out twice.
+// term and a number, so that no two requests have the same name. A retry of an unanswered
+// request uses the same name again, so that it is not carried out twice.
 func (s *State) requestRental(rental fleet.Rental) {
 	if s.rentalsInFlight >= 4 {
 		return
--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -39,11 +39,11 @@
 }
 
 // renewLease answers a report with 200, which renews its worker's lease. The answer
-// always carries a stop for each reported task whose job is final; the worker applies
-// both the renewal and the stops, or neither. So a leader that knows of a cancellation
-// never renews the lease of a cancelled task without stopping it. Answers to machines
-// that were not reconciled yet used to lack the stops: several leaders in a row renewed
-// leases without them, and cancelled tasks ran for longer than cancel_s.
+// always carries a stop for each reported task whose job is final, up to maxOrders; the
+// worker applies both the renewal and the stops, or neither. So a leader that knows of a
+// cancellation never renews the lease of a cancelled task without stopping it. Answers to
+// machines that were not reconciled yet used to lack the stops: several leaders in a row
+// renewed leases without them, and cancelled tasks ran for longer than cancel_s.
 func (s *State) renewLease(pending pendingReport, orders []model.Order) {
 	orders = s.withStops(pending.machine, pending.report, orders)
 	s.logLeaseRenewed(pending.machine, pending.report, len(orders))
@@ -66,7 +66,8 @@
 	return stops[:min(len(stops), maxOrders)]
 }
 
-// stopsForReportedTasks returns stops for the tasks in r whose jobs are final.
+// stopsForReportedTasks returns stops for the tasks in r that have not exited although
+// their jobs are final.
 func (s *State) stopsForReportedTasks(r *model.Report) []model.Order {
 	var stops []model.Order
 	for _, reported := range r.Tasks {
@@ -125,7 +126,7 @@
 	}
 }
 
-// maxOrders bounds the orders in one answer, so that it fits in a line of 64 KiB.
+// maxOrders bounds the orders in one answer, so that the answer fits in a line of 64 KiB.
 const maxOrders = 400
 
 // ordersFor returns the orders for m in answer to its report r. They are repeated with
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -92,12 +92,12 @@
 	s.refuseWorker(pending.requestID, reason)
 }
 
-// answerSupersededReport answers a report that is older than a message of the same
-// session that came before it. Either the answer to a direct command overtook the report,
-// or the report is a late copy. In the first case the worker waits for the answer, which
-// may renew its lease. The report was sent before the newer message arrived, so the
-// arrival of that message counts as the last reply, and not the current time: a late copy
-// says nothing about the current state of the machine.
+// answerSupersededReport answers a report that is no newer than the last one applied of
+// its session. Either the answer to a direct command overtook the report, or the report is
+// a late copy. Only in the first case does a worker wait for the answer, which may renew
+// its lease. The report was sent before the newer one arrived, so the lease counts from
+// that arrival and not from now: a late copy says nothing about the current state of the
+// machine.
 func (s *State) answerSupersededReport(pending pendingReport) {
 	m := pending.machine
 	s.recordCompletions(pending.report)
@@ -151,7 +151,7 @@
 	}
 	m.unverifiedReport = &pending
 	if !m.commandInFlight && s.mayProbe() {
-		s.sendCommand(m, nil, nil) // otherwise sendCommands does it once others have answered
+		s.sendCommand(m, nil, nil) // otherwise sendCommands does it once a command was answered
 	}
 }
 
@@ -191,16 +191,17 @@
 	m.lastReplyAt = s.now
 	if !s.clearUnresponsiveMark(m) || s.dispatchNeeded {
 		// The answer waits until the unresponsive mark is out of the registry, and for
-		// the next dispatch round. It then carries starts for the capacity that this
-		// report has freed, and the round sees what other reports free at the same time.
+		// the next dispatch round if one is due. It then carries starts for the capacity
+		// that this report has freed, and the round also sees the capacity that other
+		// reports free at the same time.
 		s.pendingReports = append(s.pendingReports, pending)
 		return
 	}
 	s.answerReport(pending)
 }
 
-// recordCompletions marks the tasks that r shows as done. That holds for stale reports
-// too, since a completed task stays completed.
+// recordCompletions marks the tasks as done that r shows as completed. It may be called
+// with a stale report, since a completed task stays completed.
 func (s *State) recordCompletions(r *model.Report) {
 	for _, reported := range r.Tasks {
 		id, index, ok := model.ParseTaskName(reported.Task)
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -12,16 +12,17 @@
 // longer than other tasks of the same job, but they keep getting tasks, because they hold
 // the images.
 
-// slowRatio and slowSamples define a slow machine: slowSamples of its tasks in a row took
-// at least slowRatio times as long as other tasks of their jobs.
+// slowRatio and slowSamples define a slow machine: slowSamples of its tasks took at least
+// slowRatio times the expected run time of their jobs. The last finished tasks count, and
+// running ones that already exceed that time.
 const (
 	slowRatio   = 2.0
 	slowSamples = 3
 )
 
-// expectedRunTime is how long a task of j should run: the median of its finished tasks, or
-// the user's estimate while fewer than slowSamples have finished. It also says whether the
-// time comes from finished tasks.
+// expectedRunTime is how long a task of j should run: the median of the recorded run times,
+// or the user's estimate while fewer than slowSamples are recorded. It also says whether the
+// time comes from recorded runs.
 func (j *job) expectedRunTime() (time.Duration, bool) {
 	if len(j.runTimes) < slowSamples {
 		return time.Duration(j.EstimateS * float64(time.Second)), false
@@ -29,8 +30,9 @@
 	return j.runTimes[len(j.runTimes)/2], true
 }
 
-// recordRunTime records the run time of a finished task. Tasks inherited from a former
-// leader are left out, since this leader did not see their start.
+// recordRunTime records the run time of a finished task, for 64 tasks of a job at most, and
+// compares it with the expected one. Tasks inherited from a former leader are left out,
+// since this leader did not see their start.
 func (s *State) recordRunTime(t *task) {
 	if t.inherited || t.runningSince == 0 || t.job.Kind == model.KindGang {
 		return // all tasks of a gang run at the speed of its slowest machine
@@ -45,8 +47,9 @@
 	}
 }
 
-// compareRunTime counts a task run as slow or resets the count. ratio is the run time
-// divided by the expected run time.
+// compareRunTime counts a task run as slow, or resets the count if the run took less than
+// three quarters of the time of a slow one. ratio is the run time divided by the expected
+// run time.
 func (m *machine) compareRunTime(ratio float64) {
 	if ratio >= slowRatio {
 		m.slowRuns++
@@ -93,7 +96,7 @@
 
 // moveOffSlowMachine stops t if a restart on another machine should take less time than
 // the rest of its run on this one. A task with checkpoints is always stopped, with time
-// to save.
+// to save, and a service never.
 func (s *State) moveOffSlowMachine(t *task) {
 	if t.stopping || t.job.Kind == model.KindService {
 		return
--- a/internal/core/task_reports.go
+++ b/internal/core/task_reports.go
@@ -51,8 +51,9 @@
 	s.checkTakeoverComplete()
 }
 
-// handleNewSession unbinds the tasks of a machine whose worker has begun a new session:
-// the worker's lease had expired, and it has killed all its tasks.
+// handleNewSession records the first report of a session. If this leader knows an earlier
+// session of the machine, its tasks are unbound: the worker's lease had expired, and it
+// has killed all its tasks.
 func (s *State) handleNewSession(m *machine, r *model.Report) {
 	if m.answeredSeq != 0 && !m.leaseExpired && s.now-m.lastReplyAt < s.cfg.Lease/2 {
 		s.markUnreachable(m, "its lease expired although its reports were answered")
@@ -119,9 +120,9 @@
 		}
 		return
 	}
-	// The task is there, but this leader did not start this attempt: a former leader did.
-	// The task is inherited if its job is known and still needs it, and no other machine
-	// has it. Otherwise it is orphaned and will be stopped.
+	// The task is on the machine, but this leader did not start this attempt: a former
+	// leader did. The task is inherited if its job is known and still needs it, and it is
+	// not bound already. Otherwise it is orphaned and will be stopped.
 	if j != nil && !j.isFinal() && index < j.Tasks && !j.isDone(index) && j.tasks[index] == nil {
 		t := &task{job: j, index: index, name: reported.Task, attempt: reported.Attempt, machine: m, session: r.Session, startSent: true, inherited: true}
 		s.bind(t)
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -14,9 +14,9 @@
 }
 
 // assessZones finds the unreachable zones: those with at least three machines of which
-// fewer than half report. No machines are rented there, and their capacity is not counted
-// on. Nor are machines returned, because they are probably only cut off from this
-// controller; that holds for maxZoneOutageLeases at most.
+// fewer than half report. No machines are rented there, and the capacity of those there is
+// not counted on. Nor are those returned, because they are probably only cut off; that
+// holds for maxZoneOutageLeases at most.
 func (s *State) assessZones() map[string]zoneState {
 	zones := map[string]zoneState{}
 	for _, m := range s.machinesByName {
