--- a/internal/core/cancellation_watch_test.go
+++ b/internal/core/cancellation_watch_test.go
@@ -43,7 +43,7 @@
 func TestCancellationLog(t *testing.T) {
 	s, j := leaderWithCancelledTask()
 	if countLogLines(s.effects, slog.LevelInfo, "cancellation learnt") != 1 {
-		t.Errorf("got no single line \"cancellation learnt\", want one: %v", s.effects)
+		t.Errorf("got no line \"cancellation learnt\" or several, want 1: %v", s.effects)
 	}
 	for range 2 {
 		s.replyWithStatus(requester{requestID: 1}, j)
@@ -59,7 +59,7 @@
 		s.reviewCancellations()
 		s.reviewCancellations() // a second review in the same report interval logs nothing
 		if lines := countLogLines(s.effects, review.level, "cancelled tasks outstanding"); lines != 1 {
-			t.Errorf("at %v: got %d lines of level %v, want 1: %v", review.at, lines, review.level, s.effects)
+			t.Errorf("at %v: got %d lines \"cancelled tasks outstanding\" of level %v, want 1: %v", review.at, lines, review.level, s.effects)
 		}
 	}
 	s.recordStopsSent(s.machines["n-1"], []model.Order{j.tasks[0].killOrder()}, "answer")
@@ -91,7 +91,7 @@
 }
 
 // TestDebugLogIsOff checks that answers to reports log debug lines only if the debug level
-// is enabled.
+// is enabled. There is a line for each answer, so they would cost too much otherwise.
 func TestDebugLogIsOff(t *testing.T) {
 	for _, enabled := range []bool{false, true} {
 		s, j := leaderWithCancelledTask()
@@ -100,7 +100,7 @@
 		s.renewLease(pendingReport{machine: m, report: &model.Report{}}, []model.Order{j.tasks[0].killOrder()})
 		lines := countLogLines(s.effects, slog.LevelDebug, "lease renewed") + countLogLines(s.effects, slog.LevelDebug, "stop of a cancelled task sent")
 		if (lines == 2) != enabled || !enabled && lines != 0 {
-			t.Errorf("debug level enabled: %v: got %d debug lines, want 2 if enabled, else 0", enabled, lines)
+			t.Errorf("debug level enabled %v: got %d debug lines, want 2 if enabled, else 0", enabled, lines)
 		}
 	}
 }
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -7,12 +7,12 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestUnwrittenUnresponsiveMark checks which unresponsive marks a leader uses that is
-// elected again. A leader marks a machine as unresponsive, and its term ends before the mark
-// is written; the next leader answers the machine. Elected again, the first leader must
-// count the machine's lease from its own election, not from its unwritten mark. Otherwise
-// it takes the machine for lost and starts its tasks a second time. A mark read from the
-// state service does count.
+// TestUnwrittenUnresponsiveMark checks that a leader that is elected again ignores the
+// unresponsive marks that it has never written. A leader marks a machine as unresponsive,
+// and its term ends before the mark is written; the next leader answers the machine.
+// Elected again, the first leader must count the machine's lease from its own election, not
+// from its unwritten mark. Otherwise it takes the machine for lost and starts its tasks a
+// second time, which happened. A mark read from the state service does count.
 func TestUnwrittenUnresponsiveMark(t *testing.T) {
 	s := newSingleController()
 	s.cfg.MaxClockSkew = time.Second
@@ -47,7 +47,8 @@
 }
 
 // TestRegistryPageReadScansItsPageOnly checks that a registry page that is read again
-// unregisters the machines that it no longer lists, without a scan of all machines.
+// removes the machines that it no longer lists, without a scan of all machines, which would
+// make each change of a page cost more the more machines there are.
 func TestRegistryPageReadScansItsPageOnly(t *testing.T) {
 	s := newSingleController()
 	pageOf := func(hosts ...string) []byte {
@@ -64,10 +65,10 @@
 	unlisted.registered, unlisted.storedPage = true, 1
 	s.apply(Item{Key: prefixPages + "1", Value: pageOf("n-2"), ModRevision: 7})
 	if s.machines["n-1"] != nil || s.machines["n-2"] == nil || s.machines["n-3"] == nil {
-		t.Errorf("after n-1 was removed from its page: got machines %v, want n-2, n-3 and n-4", sortedKeys(s.machines))
+		t.Errorf("after n-1 was removed from its page: got machines %v, want n-2 and n-3 but not n-1", sortedKeys(s.machines))
 	}
 	if !unlisted.registered {
-		t.Error("all machines were scanned for one page")
+		t.Error("n-4, which no page lists, was unregistered: all machines were scanned for one page")
 	}
 	s.apply(Item{Key: prefixPages + "1", ModRevision: 8, Removed: true})
 	if s.machines["n-2"] != nil || s.machines["n-3"] == nil {
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -12,7 +12,8 @@
 
 // TestAnswersCarryStops checks that each answer that renews a worker's lease carries a stop
 // for each reported task of a job known to be cancelled, on every path that a report can
-// take. A late renewal without the stop would let the task run for longer than cancel_s.
+// take. If a lease is renewed late and without the stop, the task runs for longer than
+// cancel_s.
 func TestAnswersCarryStops(t *testing.T) {
 	const host, cancelled = "n-1", "req-000001/0"
 	for _, row := range []struct {
@@ -72,13 +73,13 @@
 				renewed = true
 				orders := reply.Body.(ReportReply).Orders
 				if !containsImmediateStop(orders, cancelled, 9) {
-					t.Errorf("got %d orders in the answer without a stop of %s", len(orders), cancelled)
+					t.Errorf("got %d orders without an immediate stop of %s in an answer with status 200, want one", len(orders), cancelled)
 				}
 				if epoch := reply.Body.(ReportReply).Epoch; row.hidden && epoch <= startEpoch {
-					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher one", startEpoch, epoch)
+					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher epoch", startEpoch, epoch)
 				}
 				if len(orders) > maxOrders {
-					t.Errorf("got %d orders, more than maxOrders", len(orders))
+					t.Errorf("got %d orders in an answer, want maxOrders at most", len(orders))
 				}
 			}
 			if !renewed {
@@ -91,7 +92,7 @@
 // TestCancelBound adds up the worst case for many settings: a leader that does not learn of
 // a cancellation acts until its view is too old, then the last lease that it renewed runs to
 // its end, and both clocks are slow. The sum must be within cancel_s wherever cancel_s is at
-// least six fifths of the lease.
+// least six fifths of the lease, and within CancelBound.
 func TestCancelBound(t *testing.T) {
 	const slowestClock = 1 - ClockDrift // rate of the slowest clock
 	for lease := 4.0; lease <= 120; lease += 0.5 {
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -36,7 +36,7 @@
 			want bool
 		}{{8, false}, {9, true}} {
 			if s.IsLeader() {
-				t.Fatal("it leads before it has read the state as of its election")
+				t.Fatal("the controller leads before it has read the state as of its election")
 			}
 			s.nextReadAt = 0
 			s.sendLinearizableRead()
@@ -83,7 +83,7 @@
 			s.stopTask(placed, 0)
 			s.applyReport(m, &model.Report{Host: "n-1", Session: 1, Seq: 11, Epoch: s.epochBase() | 1 + c.shown}, true)
 			if gone := j.tasks[0] == nil; gone != c.gone {
-				t.Errorf("epoch %d above the command's: got unbound %v, want the opposite", c.shown, gone)
+				t.Errorf("report with an epoch %d above the command's: got unbound %v, want the opposite", c.shown, gone)
 			}
 		}
 	})
@@ -260,7 +260,7 @@
 		if count := stopped(); count != 4 {
 			t.Fatalf("got %d tasks stopped, want 4", count)
 		}
-		s.now += s.cfg.ReportInterval // some tasks have ended, and their capacity is reserved
+		s.now += s.cfg.ReportInterval // the freed capacity is still reserved for the gang
 		for _, m := range s.machinesByName {
 			m.viewStale = true
 			s.refreshView(m)
