--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -8,10 +8,11 @@
 	"mulleinfall/internal/model"
 )
 
-// This file sends direct commands to workers. A command carries an epoch; a worker refuses
-// commands with a lower epoch than the highest that it has seen. When the leader raises
-// the fence, which is the low bits of the epoch, earlier commands that are still on their
-// way become invalid as soon as the worker has seen the new epoch.
+// This file sends direct commands to workers. A command carries an epoch; a worker answers
+// 409 to a command with a lower epoch than the highest that it has seen, or of another
+// session, and does not carry it out. When the leader raises the fence, which is the low
+// bits of the epoch, earlier commands that are still on their way become invalid as soon
+// as the worker has seen the new epoch.
 
 // commandState is the leader's state about direct commands.
 type commandState struct {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -10,7 +10,10 @@
 	"mulleinfall/internal/sched"
 )
 
-// machine is the leader's record of one machine and its worker.
+// machine is the leader's record of one machine and its worker. A worker numbers its
+// reports and begins a new session when its lease has expired, which ends all its tasks.
+// Answers and commands carry an epoch (commands.go), and each report shows the highest
+// epoch that the worker has seen since it started.
 type machine struct {
 	host, endpoint  string
 	machineType     *model.MachineType
@@ -20,12 +23,12 @@
 	viewStale       bool          // the view must be recomputed from the tasks
 	hasUnsentOrders bool          // there may be starts or stops that have not been sent
 
-	session, seq uint64 // of the last report that was applied
+	session, seq uint64 // session and number of the last report that was applied
 	highestEpoch uint64 // highest epoch that its reports have shown
 	minEpoch     uint64 // a report with a lower epoch is stale
 	fence        uint64 // low bits of the current epoch
 
-	hasReported  bool // it has reported in this term
+	hasReported  bool // a report of it was applied in this term
 	reconciled   bool // it has shown an epoch of this term, so its task list is complete
 	leaseExpired bool // its lease has certainly expired
 	noOldTasks   bool // it holds no tasks from before this term
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -12,7 +12,7 @@
 
 // handleReport handles a report that a worker sent on its own.
 func (s *State) handleReport(event WorkerReport) {
-	s.steppedDownUnreached = false
+	s.steppedDownUnreached = false // a worker reaches this controller
 	r := &event.Report
 	if s.refuseReport(event.RequestID, r) {
 		return
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -30,6 +30,9 @@
 	return Demand{Job: &job, Need: sched.Resources{CPUs: 2, MemoryGB: 4}, Count: count}
 }
 
+// TestPlan checks one by one the rules by which Plan rents machines: expected capacity is
+// used first, then the cheapest offer that suits the job; a gang that can't be placed as a
+// whole gets none; and no more machines are rented than the limit.
 func TestPlan(t *testing.T) {
 	spread := newDemand(2, model.Job{})
 	spread.ZoneAllowance = func(string) int { return 1 }
