--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -8,10 +8,11 @@
 	"mulleinfall/internal/model"
 )
 
-// This file sends direct commands to workers. A command carries an epoch; a worker refuses
-// commands with a lower epoch than the highest that it has seen. When the leader raises
-// the fence, which is the low bits of the epoch, earlier commands that are still on their
-// way become invalid as soon as the worker has seen the new epoch.
+// This file sends direct commands to workers. A command carries an epoch; a worker answers
+// 409 to a command with a lower epoch than the highest that it has seen, or of another
+// session, and does not carry it out. When the leader raises the fence, which is the low
+// bits of the epoch, earlier commands that are still on their way become invalid as soon
+// as the worker has seen the new epoch.
 
 // commandState is the leader's state about direct commands.
 type commandState struct {
@@ -85,7 +86,8 @@
 	return s.now-m.lastHeardAt > 2*s.cfg.ReportInterval || m.reachability.unreachable && m.highestEpoch < m.reachability.recoveryEpoch
 }
 
-// sendUnsentOrders sends the unsent starts and stops of m by a direct command.
+// sendUnsentOrders sends the unsent starts and stops of m by a direct command, 100 of them
+// at most.
 func (s *State) sendUnsentOrders(m *machine) {
 	var unsent []*task
 	for _, t := range m.tasks {
@@ -105,7 +107,7 @@
 			starts = append(starts, t)
 		} else if t.stopping && t.stopRequestedAt != 0 && t.state != "" {
 			orders = append(orders, t.killOrder())
-			t.stopRequestedAt = 0 // sent directly once; answers to reports repeat it
+			t.stopRequestedAt = 0 // the stop is sent directly once; answers to reports repeat it
 		}
 	}
 	if len(orders) > 0 {
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -12,10 +12,11 @@
 
 // TestAnswersCarryStops checks that each answer that renews a worker's lease carries a stop
 // for each reported task of a job known to be cancelled, on every path that a report can
-// take. A late renewal without the stop would let the task run for longer than cancel_s.
+// take. If a lease is renewed late and without the stop, the task runs for longer than
+// cancel_s.
 func TestAnswersCarryStops(t *testing.T) {
 	const host, cancelled = "n-1", "req-000001/0"
-	for _, c := range []struct {
+	for _, row := range []struct {
 		name string
 		// report returns a report of session 1.
 		report func(s *State, m *machine) *model.Report
@@ -44,16 +45,16 @@
 			return r
 		}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			s := newSingleController()
 			s.loaded, s.hasContact, s.caughtUp, s.takeoverComplete = true, true, true, true
 			s.leadership, s.teamUsage = newLeadership(s), map[string]sched.Resources{}
 			s.apply(Item{Key: prefixJobs + "req-000001", Value: mustMarshal(jobValue{Phase: model.PhaseAborted}), ModRevision: 6})
 			m := s.ensureMachine(host)
 			m.session, m.seq, m.reconciled, m.registered, m.hasReported = 1, 5, true, true, true
-			r := c.report(s, m)
+			r := row.report(s, m)
 			r.Host, r.Session = host, 1
-			if !c.hidden {
+			if !row.hidden {
 				r.Tasks = append(r.Tasks, model.TaskReport{Task: cancelled, Attempt: 9, State: model.TaskRunning})
 			}
 			startEpoch := s.epoch(m)
@@ -72,13 +73,13 @@
 				renewed = true
 				orders := reply.Body.(ReportReply).Orders
 				if !containsImmediateStop(orders, cancelled, 9) {
-					t.Errorf("got %d orders in the answer without a stop of %s", len(orders), cancelled)
+					t.Errorf("got %d orders without an immediate stop of %s in an answer with status 200, want one", len(orders), cancelled)
 				}
-				if epoch := reply.Body.(ReportReply).Epoch; c.hidden && epoch <= startEpoch {
-					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher one", startEpoch, epoch)
+				if epoch := reply.Body.(ReportReply).Epoch; row.hidden && epoch <= startEpoch {
+					t.Errorf("a start was sent under epoch %d: got an answer under epoch %d, want a higher epoch", startEpoch, epoch)
 				}
 				if len(orders) > maxOrders {
-					t.Errorf("got %d orders, more than maxOrders", len(orders))
+					t.Errorf("got %d orders in an answer, want maxOrders at most", len(orders))
 				}
 			}
 			if !renewed {
@@ -91,7 +92,7 @@
 // TestCancelBound adds up the worst case for many settings: a leader that does not learn of
 // a cancellation acts until its view is too old, then the last lease that it renewed runs to
 // its end, and both clocks are slow. The sum must be within cancel_s wherever cancel_s is at
-// least six fifths of the lease.
+// least six fifths of the lease, and within CancelBound.
 func TestCancelBound(t *testing.T) {
 	const slowestClock = 1 - ClockDrift // rate of the slowest clock
 	for lease := 4.0; lease <= 120; lease += 0.5 {
