--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -145,9 +145,9 @@
 // applyRunningCounts applies the leader's numbers of running tasks, which replies to
 // users show.
 func (s *State) applyRunningCounts(counts map[string]int) {
-	for id, n := range counts {
+	for id, running := range counts {
 		if j := s.active[id]; j != nil {
-			j.reportedRunning = n
+			j.reportedRunning = running
 		}
 	}
 }
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -198,12 +198,12 @@
 	return max(largestValue/4, min(largestValue*3/4, 1536))
 }
 
-// page returns page n and creates it if needed.
-func (s *State) page(n int) *registryPage {
-	p := s.pages[n]
+// page returns the page of that number and creates it if needed.
+func (s *State) page(pageNumber int) *registryPage {
+	p := s.pages[pageNumber]
 	if p == nil {
 		p = &registryPage{bytes: 2}
-		s.pages[n] = p
+		s.pages[pageNumber] = p
 	}
 	return p
 }
@@ -212,9 +212,9 @@
 // machine, whose entry takes bytes.
 func (s *State) pageWithCapacity(bytes int) int {
 	limit := s.maxPageBytes()
-	for n := 1; ; n++ {
-		if p := s.pages[n]; p == nil || p.bytes+bytes <= limit {
-			return n
+	for pageNumber := 1; ; pageNumber++ {
+		if p := s.pages[pageNumber]; p == nil || p.bytes+bytes <= limit {
+			return pageNumber
 		}
 	}
 }
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -203,19 +203,19 @@
 }
 
 // callStore sends a call to the state service; done gets its result.
-func (s *State) callStore(c StoreCall, done func(StoreResult)) {
+func (s *State) callStore(call StoreCall, done func(StoreResult)) {
 	sentAt := s.now
-	c.CallID = s.registerCall(func(untyped any) {
+	call.CallID = s.registerCall(func(untyped any) {
 		result := untyped.(StoreResult)
 		if result.Status != 0 && result.Status != 503 && result.Status != 429 {
 			s.recordStoreContact(sentAt)
 		}
 		done(result)
 	})
-	if c.Timeout == 0 {
-		c.Timeout = time.Second
+	if call.Timeout == 0 {
+		call.Timeout = time.Second
 	}
-	s.emit(c)
+	s.emit(call)
 }
 
 // limiterTime converts the monotonic time for the rate limiters.
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -91,7 +91,7 @@
 	s.storeVersionAt = s.now + s.electionConfig.PromiseDuration
 	s.queueWrite(&write{
 		change: Change{Key: key, Value: mustMarshal(controllerVersionValue{s.cfg.Version})}, deadline: s.storeVersionAt, class: classRegistry,
-		done: func(r outcome) { s.ownVersionStored = s.ownVersionStored || r == written },
+		done: func(result outcome) { s.ownVersionStored = s.ownVersionStored || result == written },
 	})
 }
 
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -75,9 +75,9 @@
 	if leading {
 		share = 1 - share*(controllers-1)
 	}
-	rps := s.cfg.StoreWriteRPS * 0.95 * share
-	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(rps))
-	s.writeRate.SetBurstAt(s.limiterTime(), max(1, int(rps)))
+	writesPerSecond := s.cfg.StoreWriteRPS * 0.95 * share
+	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(writesPerSecond))
+	s.writeRate.SetBurstAt(s.limiterTime(), max(1, int(writesPerSecond)))
 }
 
 // maxTxnBytes limits the estimated size of a transaction's changes. The state service
@@ -93,7 +93,7 @@
 	s.queue = nil // collects the writes that the callbacks below queue
 	next := &batch{maxOps: s.cfg.MaxTxnOps, keys: map[string]bool{}}
 	for _, w := range waiting {
-		if s.isObsolete(w) {
+		if s.shouldDrop(w) {
 			w.done(failed)
 			continue
 		}
@@ -114,9 +114,9 @@
 	s.transact(next.writes, next.requiresLeadership)
 }
 
-// isObsolete reports whether w must not be tried any more, because its leadership or
+// shouldDrop reports whether w must not be tried any more, because its leadership or
 // its deadline is over, or because it is no longer needed.
-func (s *State) isObsolete(w *write) bool {
+func (s *State) shouldDrop(w *write) bool {
 	if w.leaderTerm != 0 && (!s.IsLeader() || s.leadership.Term != w.leaderTerm) {
 		return true
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -180,9 +180,9 @@
 }
 
 // RecordRead records a complete read of the state service that was sent at sentAt.
-func (t *Leadership) RecordRead(sentAt time.Duration) {
-	t.lastReadAt = max(t.lastReadAt, sentAt)
-	t.updateViewValidity()
+func (l *Leadership) RecordRead(sentAt time.Duration) {
+	l.lastReadAt = max(l.lastReadAt, sentAt)
+	l.updateViewValidity()
 }
 
 // RecordReadLease records a read lease that another controller has granted and
@@ -193,43 +193,43 @@
 // grantor may have started after both the last read and the end of its previous
 // read lease: no other controller can report what the previous incarnation
 // confirmed in between.
-func (t *Leadership) RecordReadLease(controller string, requestedAt, grantorStartedAt time.Duration, grantorLoaded bool) {
-	if !grantorLoaded && grantorStartedAt > max(t.lastReadAt, t.readLeasesUntil[controller]) {
+func (l *Leadership) RecordReadLease(controller string, requestedAt, grantorStartedAt time.Duration, grantorLoaded bool) {
+	if !grantorLoaded && grantorStartedAt > max(l.lastReadAt, l.readLeasesUntil[controller]) {
 		return
 	}
-	t.readLeasesUntil[controller] = max(t.readLeasesUntil[controller], requestedAt+t.shortenForDrift(t.cfg.ReadLeaseDuration))
-	t.updateViewValidity()
+	l.readLeasesUntil[controller] = max(l.readLeasesUntil[controller], requestedAt+l.shortenForDrift(l.cfg.ReadLeaseDuration))
+	l.updateViewValidity()
 }
 
 // updateViewValidity computes until when the leader's view is recent enough. Read
 // leases count only if every other controller has granted one.
-func (t *Leadership) updateViewValidity() {
-	viewedAt := t.lastReadAt
-	if len(t.readLeasesUntil) == t.cfg.Controllers-1 && t.cfg.Controllers > 1 {
+func (l *Leadership) updateViewValidity() {
+	viewedAt := l.lastReadAt
+	if len(l.readLeasesUntil) == l.cfg.Controllers-1 && l.cfg.Controllers > 1 {
 		first := true
-		for _, until := range t.readLeasesUntil {
+		for _, until := range l.readLeasesUntil {
 			if first || until < viewedAt {
 				viewedAt, first = until, false
 			}
 		}
-		viewedAt = max(viewedAt, t.lastReadAt)
+		viewedAt = max(viewedAt, l.lastReadAt)
 	}
-	t.viewValidUntil = viewedAt + t.shortenForDrift(t.cfg.MaxStaleness)
+	l.viewValidUntil = viewedAt + l.shortenForDrift(l.cfg.MaxStaleness)
 }
 
 // ViewValidUntil returns the time until which the leader's view is recent enough.
-func (t *Leadership) ViewValidUntil() time.Duration { return t.viewValidUntil }
+func (l *Leadership) ViewValidUntil() time.Duration { return l.viewValidUntil }
 
 // RecordPromise records a controller's promise that was requested at requestedAt.
-func (t *Leadership) RecordPromise(now time.Duration, controller string, requestedAt time.Duration) {
+func (l *Leadership) RecordPromise(now time.Duration, controller string, requestedAt time.Duration) {
 	// A promise that an earlier campaign requested doesn't count: its voter may
 	// have been released from it since.
-	if t.expireIfDue(now) || requestedAt < t.campaignStartedAt {
+	if l.expireIfDue(now) || requestedAt < l.campaignStartedAt {
 		return
 	}
-	if previous, ok := t.promises[controller]; !ok || requestedAt > previous {
-		t.promises[controller] = requestedAt
-		t.majorityUntil = t.computeMajorityUntil()
+	if previous, ok := l.promises[controller]; !ok || requestedAt > previous {
+		l.promises[controller] = requestedAt
+		l.majorityUntil = l.computeMajorityUntil()
 	}
 }
 
@@ -237,56 +237,56 @@
 // lease that was requested at leaseRequestedAt. If the majority of promises has
 // expired meanwhile, it ends the campaign and returns false: without them nothing
 // shows that the former leader has stopped.
-func (t *Leadership) ConfirmElection(now, leaseRequestedAt time.Duration) bool {
-	if t.ended || now >= t.majorityUntil {
-		t.ended = true
+func (l *Leadership) ConfirmElection(now, leaseRequestedAt time.Duration) bool {
+	if l.ended || now >= l.majorityUntil {
+		l.ended = true
 		return false
 	}
-	t.elected, t.hasKey, t.keyRequestedAt = true, true, leaseRequestedAt
+	l.elected, l.hasKey, l.keyRequestedAt = true, true, leaseRequestedAt
 	// The leader acts only after it has read the state as of its election, so
 	// its view counts as read now.
-	t.RecordRead(now)
+	l.RecordRead(now)
 	return true
 }
 
 // RecordRenewal records that the leader key was renewed by a request that was sent
 // at requestedAt.
-func (t *Leadership) RecordRenewal(now, requestedAt time.Duration) {
-	if t.expireIfDue(now) {
+func (l *Leadership) RecordRenewal(now, requestedAt time.Duration) {
+	if l.expireIfDue(now) {
 		return
 	}
-	if !t.hasKey || requestedAt > t.keyRequestedAt {
-		t.hasKey, t.keyRequestedAt = true, requestedAt
+	if !l.hasKey || requestedAt > l.keyRequestedAt {
+		l.hasKey, l.keyRequestedAt = true, requestedAt
 	}
 }
 
 // RecordKeyLoss records that the state service no longer holds the leader key.
-func (t *Leadership) RecordKeyLoss() { t.hasKey = false }
+func (l *Leadership) RecordKeyLoss() { l.hasKey = false }
 
 // shortenForDrift returns how long a holder may rely on an obligation of duration
 // d, so that it ends before d on the clock of the controller that gave it.
-func (t *Leadership) shortenForDrift(d time.Duration) time.Duration {
-	return d - time.Duration(float64(d)*2*t.cfg.ClockDrift) - time.Millisecond
+func (l *Leadership) shortenForDrift(d time.Duration) time.Duration {
+	return d - time.Duration(float64(d)*2*l.cfg.ClockDrift) - time.Millisecond
 }
 
 // KeyValidUntil returns the earliest time at which the leader key may expire.
-func (t *Leadership) KeyValidUntil() time.Duration {
-	if !t.hasKey {
+func (l *Leadership) KeyValidUntil() time.Duration {
+	if !l.hasKey {
 		return 0
 	}
-	return t.keyRequestedAt + t.shortenForDrift(t.cfg.KeyTTL)
+	return l.keyRequestedAt + l.shortenForDrift(l.cfg.KeyTTL)
 }
 
 // computeMajorityUntil returns until when promises of a majority are in force, or
 // 0 without a majority.
-func (t *Leadership) computeMajorityUntil() time.Duration {
-	quorum := t.cfg.Controllers/2 + 1
-	if len(t.promises) < quorum {
+func (l *Leadership) computeMajorityUntil() time.Duration {
+	quorum := l.cfg.Controllers/2 + 1
+	if len(l.promises) < quorum {
 		return 0
 	}
 	// The oldest of the quorum's most recent promises bounds the majority.
-	requestTimes := make([]time.Duration, 0, len(t.promises))
-	for _, requestedAt := range t.promises {
+	requestTimes := make([]time.Duration, 0, len(l.promises))
+	for _, requestedAt := range l.promises {
 		position := len(requestTimes)
 		requestTimes = append(requestTimes, requestedAt)
 		for position > 0 && requestTimes[position-1] < requestedAt {
@@ -295,39 +295,39 @@
 		}
 		requestTimes[position] = requestedAt
 	}
-	return requestTimes[quorum-1] + t.shortenForDrift(t.cfg.PromiseDuration)
+	return requestTimes[quorum-1] + l.shortenForDrift(l.cfg.PromiseDuration)
 }
 
 // HasMajority reports whether promises of a majority are in force at now.
-func (t *Leadership) HasMajority(now time.Duration) bool { return now < t.majorityUntil }
+func (l *Leadership) HasMajority(now time.Duration) bool { return now < l.majorityUntil }
 
 // ValidUntil returns the time until which this leadership may act, as far as is
 // known now.
-func (t *Leadership) ValidUntil() time.Duration {
-	if !t.elected || t.ended {
+func (l *Leadership) ValidUntil() time.Duration {
+	if !l.elected || l.ended {
 		return 0
 	}
-	until := max(t.KeyValidUntil(), t.majorityUntil)
-	if t.cfg.MaxStaleness > 0 && t.cfg.Controllers > 1 {
-		until = min(until, t.viewValidUntil)
+	until := max(l.KeyValidUntil(), l.majorityUntil)
+	if l.cfg.MaxStaleness > 0 && l.cfg.Controllers > 1 {
+		until = min(until, l.viewValidUntil)
 	}
 	return until
 }
 
 // expireIfDue ends an elected leadership whose right to act has expired at now. It
 // reports whether the campaign or leadership has ended.
-func (t *Leadership) expireIfDue(now time.Duration) bool {
-	if t.elected && now >= t.ValidUntil() {
-		t.ended = true
+func (l *Leadership) expireIfDue(now time.Duration) bool {
+	if l.elected && now >= l.ValidUntil() {
+		l.ended = true
 	}
-	return t.ended
+	return l.ended
 }
 
 // CanAct reports whether this leadership may act at now. Once an elected leadership
 // may not, it may never act again.
-func (t *Leadership) CanAct(now time.Duration) bool {
-	return t.elected && !t.expireIfDue(now)
+func (l *Leadership) CanAct(now time.Duration) bool {
+	return l.elected && !l.expireIfDue(now)
 }
 
 // End ends the campaign or leadership for good.
-func (t *Leadership) End() { t.ended = true }
+func (l *Leadership) End() { l.ended = true }
