--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -15,9 +15,11 @@
 	keyTypes          = keyRoot + "types"
 	keyClusterVersion = keyRoot + "forms"
 	prefixJobs        = keyRoot + "j/"
-	prefixMachines    = keyRoot + "m/" // one machine of the registry, as versions before the registry pages wrote it
-	prefixPages       = keyRoot + "r/"
-	prefixVersions    = keyRoot + "v/"
+	// prefixMachines holds one key per machine, as versions before the registry pages
+	// wrote them.
+	prefixMachines = keyRoot + "m/"
+	prefixPages    = keyRoot + "r/"
+	prefixVersions = keyRoot + "v/"
 	// prefixProgress sorts after prefixJobs, so a listing returns a job before
 	// its progress.
 	prefixProgress = keyRoot + "p/"
@@ -27,11 +29,11 @@
 type replica struct {
 	loaded       bool
 	loading      bool
-	revision     uint64
-	modRevisions map[string]uint64 // modification revision of each key; for a removed key, the revision of its removal
-	removed      map[string]bool
-	watching     bool
-	nextWatchAt  time.Duration // earliest start of the next watch
+	revision     uint64            // the copy includes all changes up to this revision
+	modRevisions map[string]uint64 // modification revision of each key, or revision of its removal
+	removed      map[string]bool   // removed keys that are still in modRevisions
+	watching     bool              // a watch is in flight
+	nextWatchAt  time.Duration     // earliest start of the next watch
 
 	pendingReads   []func(ok bool) // callbacks that wait for a linearizable read
 	readInFlight   bool
@@ -43,12 +45,12 @@
 
 	termModRevision    uint64
 	termWinner         string // controller that won the term
-	term               uint64
+	term               uint64 // last term that was won
 	leaderName         string
 	leaderTerm         uint64
 	leaderLease        uint64
 	leaderModRevision  uint64
-	leaderKeyChangedAt time.Duration // when the leader key last changed; if it is gone, when it went
+	leaderKeyChangedAt time.Duration // when the leader key was last seen to change or be removed
 	typesModRevision   uint64
 	clusterVersion     int // version that the whole cluster uses: see version.go
 }
@@ -73,7 +75,8 @@
 	s.lastContactAt = max(s.lastContactAt, sentAt)
 }
 
-// sinceStoreContact returns how long ago the last answered request was sent.
+// sinceStoreContact returns how long ago the last answered request was sent, or an hour
+// if there was none.
 func (s *State) sinceStoreContact() time.Duration {
 	if !s.hasContact {
 		return time.Hour
@@ -224,7 +227,7 @@
 	return reads
 }
 
-// finishReads calls the callbacks of linearizable reads.
+// finishReads calls the callbacks of linearizable reads with their outcome.
 func (s *State) finishReads(reads []func(bool), ok bool) {
 	for _, done := range reads {
 		done(ok)
@@ -249,7 +252,8 @@
 		var value termValue
 		if json.Unmarshal(item.Value, &value) == nil {
 			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Controller
-			s.acknowledgeUpTo(item.ModRevision) // the winner reads all earlier changes before it acts
+			// The winner reads all earlier changes before it acts.
+			s.acknowledgeUpTo(item.ModRevision)
 		}
 		s.stepDownIfSuperseded()
 	case item.Key == keyLeader:
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -19,7 +19,7 @@
 type State struct {
 	cfg            Config
 	electionConfig election.Config
-	now            time.Duration
+	now            time.Duration // monotonic time of the last event
 	// startedAt is when this process started.
 	startedAt time.Duration
 	// wallMs is the wall-clock time of the last tick, in milliseconds.
@@ -28,7 +28,7 @@
 	effects    []Effect
 	random     *rand.Rand
 
-	pendingCalls map[uint64]func(any)
+	pendingCalls map[uint64]func(any) // by call id: the callback that gets the result
 	lastCallID   uint64
 
 	storeRate, writeRate, cloudRate *rate.Limiter
@@ -56,12 +56,14 @@
 	typeList        []model.MachineType
 	nextTypesReadAt time.Duration
 
-	jobs                map[string]*job
-	active              map[string]*job
-	machines            map[string]*machine
-	machinesByName      []*machine       // all machines sorted by name; loops use this order so that traces replay
+	jobs     map[string]*job
+	active   map[string]*job // jobs that are not finished
+	machines map[string]*machine
+	// machinesByName holds all machines sorted by name. Loops use this order so that
+	// traces replay.
+	machinesByName      []*machine
 	pageHosts           map[int][]string // machines on each registry page, as last read
-	machinesWithOrphans []*machine       // machines that run orphaned tasks
+	machinesWithOrphans []*machine       // machines with tasks that they should not have
 }
 
 // promiseDuration is how long the leader key and a promise last: a part of the
@@ -184,15 +186,16 @@
 	s.emit(Log{level, text, args})
 }
 
-// registerCall returns the id of a new call to the outside; done gets its result.
+// registerCall returns the id of a new call to another component. When the call
+// completes, done gets its result.
 func (s *State) registerCall(done func(any)) uint64 {
 	s.lastCallID++
 	s.pendingCalls[s.lastCallID] = done
 	return s.lastCallID
 }
 
-// completeCall passes the result of a call to its callback. Results of unknown calls are
-// ignored.
+// completeCall passes the result of a call to its callback. Results of unknown calls
+// are ignored.
 func (s *State) completeCall(callID uint64, result any) {
 	done, ok := s.pendingCalls[callID]
 	if !ok {
@@ -202,7 +205,8 @@
 	done(result)
 }
 
-// callStore sends a call to the state service; done gets its result.
+// callStore sends a call to the state service. When the call completes, done gets its
+// result. Every answer but a refusal (503 or 429) counts as contact with the service.
 func (s *State) callStore(call StoreCall, done func(StoreResult)) {
 	sentAt := s.now
 	call.CallID = s.registerCall(func(untyped any) {
@@ -218,7 +222,7 @@
 	s.emit(call)
 }
 
-// limiterTime converts the monotonic time for the rate limiters.
+// limiterTime returns the monotonic time in the form that the rate limiters need.
 func (s *State) limiterTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 // mustMarshal encodes a value of one of this package's own types as JSON.
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -15,9 +15,9 @@
 
 // Goal holds the service objectives for the jobs of a class.
 type Goal struct {
-	StartWithin  time.Duration // tasks should start within this time; 0: no objective
-	FinishWithin time.Duration // jobs should be done within this time; 0: no objective
-	DueFactor    float64       // jobs should be done within this many times their due time; 0: no objective
+	StartWithin  time.Duration // target time until a task has started; 0: none
+	FinishWithin time.Duration // target time until a job is done; 0: none
+	DueFactor    float64       // the same in multiples of the job's due time; 0: none
 }
 
 // Team holds the resources that a team is guaranteed and may use at most (0: no limit).
@@ -34,8 +34,10 @@
 	Goals       map[string]Goal // by class
 
 	ReportInterval time.Duration // time between two reports of a worker
-	Lease          time.Duration // a worker stops its tasks when its reports go unanswered for this long
-	CancelWithin   time.Duration // tasks of a cancelled job must be gone this long after the confirmation
+	Lease          time.Duration // a worker without answers stops its tasks after this time
+	// CancelWithin is how long after the confirmation of a cancellation the job's tasks
+	// must be gone.
+	CancelWithin time.Duration
 	// GangWaitTimeout is how long a gang's task waits for the others.
 	// GangPeerTimeout is how soon it notices that one of them is gone. 0: no gangs.
 	GangWaitTimeout, GangPeerTimeout time.Duration
@@ -61,21 +63,25 @@
 
 	// RoundBudget is the time that one dispatch round may take (0: unlimited).
 	// Stopwatch starts a measurement and returns a function that returns the time
-	// since then. If it is nil, a round takes no time.
+	// since then. If it is nil, rounds count as taking no time.
 	RoundBudget time.Duration
 	Stopwatch   func() func() time.Duration
 }
 
 // Tuning holds the settings that operators may change.
 type Tuning struct {
-	SkipLimit           int           // how often later tasks may go before a waiting job's
+	SkipLimit           int           // how often a waiting job may be skipped for later tasks
 	BitmapWriteInterval time.Duration // minimum time between two writes of a job's finished tasks
-	IdleBoots           float64       // keep an idle machine for this many boot times
-	GiveUpBoots         float64       // give up a rented machine that has not reported after this many boot times
-	Patience            float64       // share of a job's spare time that may pass before more expensive machines are rented
-	SpareServices       int           // service tasks for which capacity is reserved
-	SpareGangs          int           // gangs for which capacity is reserved
-	MaxMachines         int           // maximum number of machines; 0: as many as the cloud offers
+	IdleBoots           float64       // an idle machine is kept for this many boot times
+	// GiveUpBoots is the number of boot times after which a rented machine that has not
+	// reported is given up.
+	GiveUpBoots float64
+	// Patience is the share of a job's spare time that may pass before more expensive
+	// machines are rented.
+	Patience      float64
+	SpareServices int // service tasks for which capacity is reserved
+	SpareGangs    int // gangs for which capacity is reserved
+	MaxMachines   int // maximum number of machines; 0: as many as the cloud offers
 }
 
 // DefaultTuning returns the values that apply where the operator sets none.
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -84,7 +84,8 @@
 // accepts 64 KiB; the rest is left for preconditions.
 const maxTxnBytes = 48 << 10
 
-// sendNextTxn sends the next transaction, if none is in flight.
+// sendNextTxn sends the next transaction, if none is in flight and the rate limits
+// allow it. It also ends the writes that are not to be tried any more.
 func (s *State) sendNextTxn() {
 	if s.txnInFlight || len(s.queue) == 0 || s.now < s.nextTxnAt {
 		return
@@ -100,6 +101,7 @@
 		next.add(w)
 	}
 	added := s.queue
+	// All writes stay queued if the transaction cannot be sent now.
 	s.queue = append(next.writes[:len(next.writes):len(next.writes)], next.deferred...)
 	for _, w := range added {
 		s.insertWrite(w)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -72,8 +72,8 @@
 	readUntil, previousReadUntil time.Duration
 }
 
-// NewVoter creates a voter that starts at now. Its startup wait lasts as long as
-// a promise that the previous incarnation may have given just before it ended.
+// NewVoter creates a voter that starts at now. Its startup wait lasts as long as a
+// promise that the previous incarnation may have given just before it ended.
 func NewVoter(cfg Config, now time.Duration) *Voter {
 	return &Voter{cfg: cfg, startupWaitUntil: now + cfg.lengthenForDrift(cfg.PromiseDuration), previousReadTerm: math.MaxUint64, previousReadUntil: now + cfg.lengthenForDrift(cfg.ReadLeaseDuration)}
 }
@@ -111,13 +111,13 @@
 }
 
 // lengthenForDrift returns how long a voter or grantor must keep an obligation of
-// duration d, so that it outlasts d on the holder's clock.
+// duration d on its own clock, so that it outlasts d on the holder's clock.
 func (c Config) lengthenForDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*c.ClockDrift) + time.Millisecond
 }
 
-// Grant promises to support the controller in term and returns true, unless the
-// startup wait, a promise to another controller or a higher term forbids that.
+// Grant promises to support the controller in term and returns true. It returns false
+// if the startup wait, a promise to another controller or a higher term forbids that.
 func (v *Voter) Grant(now time.Duration, controller string, term uint64) bool {
 	if now < v.startupWaitUntil && (controller != v.preapprovedController || term != v.preapprovedTerm) || term < v.highestTerm {
 		return false
@@ -160,13 +160,13 @@
 	// requests for promises carry it.
 	TermModRevision   uint64
 	campaignStartedAt time.Duration
-	keyRequestedAt    time.Duration // when the last successful request for the key or its renewal was sent
+	keyRequestedAt    time.Duration // when the request that last obtained or renewed the key was sent
 	hasKey            bool
 	promises          map[string]time.Duration // by voter: when the promise was requested
 	// majorityUntil is when the majority of promises may end. It is read with
 	// every event, so it is computed only when a promise arrives.
 	majorityUntil   time.Duration
-	lastReadAt      time.Duration            // when the last complete read of the state service was sent
+	lastReadAt      time.Duration            // when the last complete read of the state was sent
 	readLeasesUntil map[string]time.Duration // by grantor: when its read lease may end
 	viewValidUntil  time.Duration            // the view is recent enough until then
 	elected         bool
@@ -202,7 +202,8 @@
 }
 
 // updateViewValidity computes until when the leader's view is recent enough. Read
-// leases count only if every other controller has granted one.
+// leases count only if every other controller has granted one. The first of
+// them to end then bounds the view, unless the last read is later.
 func (l *Leadership) updateViewValidity() {
 	viewedAt := l.lastReadAt
 	if len(l.readLeasesUntil) == l.cfg.Controllers-1 && l.cfg.Controllers > 1 {
@@ -263,13 +264,14 @@
 // RecordKeyLoss records that the state service no longer holds the leader key.
 func (l *Leadership) RecordKeyLoss() { l.hasKey = false }
 
-// shortenForDrift returns how long a holder may rely on an obligation of duration
-// d, so that it ends before d on the clock of the controller that gave it.
+// shortenForDrift returns how long a holder may rely on an obligation of duration d by
+// its own clock, so that it stops before d has passed on the clock of the giver.
 func (l *Leadership) shortenForDrift(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*2*l.cfg.ClockDrift) - time.Millisecond
 }
 
-// KeyValidUntil returns the earliest time at which the leader key may expire.
+// KeyValidUntil returns the earliest time at which the leader key may expire, or 0 if
+// the state service does not hold it.
 func (l *Leadership) KeyValidUntil() time.Duration {
 	if !l.hasKey {
 		return 0
@@ -284,7 +286,7 @@
 	if len(l.promises) < quorum {
 		return 0
 	}
-	// The oldest of the quorum's most recent promises bounds the majority.
+	// The request times are sorted, latest first: the quorum-th bounds the majority.
 	requestTimes := make([]time.Duration, 0, len(l.promises))
 	for _, requestedAt := range l.promises {
 		position := len(requestTimes)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -9,6 +9,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
+// TestVoterWaitsAfterStart checks that a restarted process gives no promise while one
+// that its previous incarnation gave, and that it has forgotten, may be in force.
 func TestVoterWaitsAfterStart(t *testing.T) {
 	v := NewVoter(cfg, 0)
 	if v.Grant(ms(2999), "a", 1) {
@@ -22,11 +24,11 @@
 func TestVoterSupportsOneAtATime(t *testing.T) {
 	v := NewVoter(cfg, -time.Hour)
 	steps := []struct {
-		at   int
-		node string
-		term uint64
-		want bool
-		why  string
+		at         int
+		controller string
+		term       uint64
+		want       bool
+		why        string
 	}{
 		{0, "a", 5, true, "no other promise is in force"},
 		{100, "b", 6, false, "the promise to a is in force"},
@@ -39,8 +41,8 @@
 		{9100, "b", 7, false, "the term is higher, but the promise to a is in force"},
 	}
 	for _, step := range steps {
-		if got := v.Grant(ms(step.at), step.node, step.term); got != step.want {
-			t.Errorf("at %d ms, controller %s, term %d: got promise %v, want %v: %s", step.at, step.node, step.term, got, step.want, step.why)
+		if got := v.Grant(ms(step.at), step.controller, step.term); got != step.want {
+			t.Errorf("at %d ms, controller %s, term %d: got promise %v, want %v: %s", step.at, step.controller, step.term, got, step.want, step.why)
 		}
 	}
 }
@@ -108,6 +110,8 @@
 	}
 }
 
+// TestPromiseOfEarlierCampaignDoesNotCount checks that a late answer to an earlier
+// campaign's request gives no majority: its voter may have been released since.
 func TestPromiseOfEarlierCampaignDoesNotCount(t *testing.T) {
 	leadership := NewLeadership(cfg, ms(100), 7, 0)
 	leadership.RecordPromise(ms(110), "a", ms(100))
@@ -117,6 +121,8 @@
 	}
 }
 
+// TestStartupWaitEndsEarly checks that a voter gives promises as soon as all other
+// controllers have released it from those of its previous incarnation.
 func TestStartupWaitEndsEarly(t *testing.T) {
 	v := NewVoter(cfg, 0)
 	v.EndStartupWait()
@@ -147,55 +153,55 @@
 		{"granted by this incarnation to a leader whose term is over", func(v *Voter) { v.EndStartupWait(); v.GrantReadLease(ms(500), 4) }, 1000, 5, false},
 		{"the end of the startup wait does not end it", func(v *Voter) { v.GrantReadLease(ms(500), 4); v.EndStartupWait() }, 1000, 4, true},
 	}
-	for _, x := range voters {
+	for _, c := range voters {
 		v := NewVoter(readLeaseConfig, 0)
-		x.do(v)
-		if got := v.HasReadLease(ms(x.at), x.term); got != x.want {
-			t.Errorf("%s: got bound %v, want %v", x.why, got, x.want)
+		c.do(v)
+		if got := v.HasReadLease(ms(c.at), c.term); got != c.want {
+			t.Errorf("%s: got read lease in force %v, want %v", c.why, got, c.want)
 		}
 	}
 	// The leader is elected at 0, and its last read is of that time. Its key is
 	// renewed all the time.
 	leaderships := []struct {
 		why  string
-		do   func(t *Leadership)
+		do   func(l *Leadership)
 		want int // last whole second at which the leader may act
 	}{
-		{"the last read limits it", func(t *Leadership) {}, 9},
-		{"a later read extends it", func(t *Leadership) { t.RecordRead(ms(4000)) }, 13},
-		{"a read lease from one of two controllers does not extend it", func(t *Leadership) { t.RecordReadLease("b", ms(3000), 0, true) }, 9},
-		{"read leases from both controllers extend it", func(t *Leadership) {
-			t.RecordReadLease("b", ms(3000), 0, true)
-			t.RecordReadLease("c", ms(5000), 0, true)
+		{"the last read limits it", func(l *Leadership) {}, 9},
+		{"a later read extends it", func(l *Leadership) { l.RecordRead(ms(4000)) }, 13},
+		{"a read lease from one of two controllers does not extend it", func(l *Leadership) { l.RecordReadLease("b", ms(3000), 0, true) }, 9},
+		{"read leases from both controllers extend it", func(l *Leadership) {
+			l.RecordReadLease("b", ms(3000), 0, true)
+			l.RecordReadLease("c", ms(5000), 0, true)
 		}, 32},
-		{"one grantor started after the last read", func(t *Leadership) {
-			t.RecordReadLease("b", ms(3000), ms(2500), false)
-			t.RecordReadLease("c", ms(5000), 0, true)
+		{"one grantor started after the last read", func(l *Leadership) {
+			l.RecordReadLease("b", ms(3000), ms(2500), false)
+			l.RecordReadLease("c", ms(5000), 0, true)
 		}, 9},
-		{"one grantor started after the last read and has read the state itself", func(t *Leadership) {
-			t.RecordReadLease("b", ms(3000), ms(2500), true)
-			t.RecordReadLease("c", ms(5000), 0, true)
+		{"one grantor started after the last read and has read the state itself", func(l *Leadership) {
+			l.RecordReadLease("b", ms(3000), ms(2500), true)
+			l.RecordReadLease("c", ms(5000), 0, true)
 		}, 32},
-		{"one grantor started before its previous read lease expired", func(t *Leadership) {
-			t.RecordReadLease("b", ms(3000), 0, true)
-			t.RecordReadLease("b", ms(9000), ms(8000), false)
-			t.RecordReadLease("c", ms(9000), 0, true)
+		{"one grantor started before its previous read lease expired", func(l *Leadership) {
+			l.RecordReadLease("b", ms(3000), 0, true)
+			l.RecordReadLease("b", ms(9000), ms(8000), false)
+			l.RecordReadLease("c", ms(9000), 0, true)
 		}, 38},
-		{"a late answer to an earlier read does not shorten it", func(t *Leadership) { t.RecordRead(ms(4000)); t.RecordRead(ms(1000)) }, 13},
+		{"a late answer to an earlier read does not shorten it", func(l *Leadership) { l.RecordRead(ms(4000)); l.RecordRead(ms(1000)) }, 13},
 	}
-	for _, x := range leaderships {
+	for _, c := range leaderships {
 		leadership := NewLeadership(readLeaseConfig, 0, 4, 3)
 		leadership.RecordPromise(0, "a", 0)
 		leadership.RecordPromise(0, "b", 0)
 		if !leadership.ConfirmElection(0, 0) {
 			t.Fatal("not elected with two of three promises and the key")
 		}
-		x.do(leadership)
+		c.do(leadership)
 		for at := 1000; at < 60000; at += 1000 {
 			leadership.RecordRenewal(ms(at), ms(at))
 			if !leadership.CanAct(ms(at)) {
-				if got := at/1000 - 1; got != x.want {
-					t.Errorf("%s: got last act at %d s, want %d s", x.why, got, x.want)
+				if got := at/1000 - 1; got != c.want {
+					t.Errorf("%s: got leader that may act until %d s, want %d s", c.why, got, c.want)
 				}
 				break
 			}
