--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -16,8 +16,8 @@
 	return time.Duration((0.05 + 0.25*s.random.Float64()) * float64(s.electionConfig.PromiseDuration))
 }
 
-// campaign maintains this controller's leadership, continues its campaign, or starts
-// one if there is no leader and no reason to let other controllers go first.
+// campaign maintains this controller's leadership, continues its campaign, or starts a
+// campaign if there is no leader and no reason to let other controllers go first.
 func (s *State) campaign() {
 	if s.leadership != nil && s.electedAt != 0 {
 		s.maintainLeadership()
@@ -123,7 +123,8 @@
 	})
 }
 
-// leaderKeyNotWon ends a campaign whose request for the leader key failed.
+// leaderKeyNotWon ends a campaign whose request for the leader key failed or was
+// answered only after the promises had expired.
 func (s *State) leaderKeyNotWon(result StoreResult) {
 	s.log(slog.LevelDebug, "leader key not won", "term", s.leadership.Term, "status", result.Status, "failed", result.FailedKeys)
 	if result.Status == 409 {
@@ -138,9 +139,9 @@
 // startLeadership starts the leadership that was won at revision.
 func (s *State) startLeadership(revision uint64) {
 	leadership := s.leadership
+	s.firstTerm = leadership.TermModRevision == 0 // no controller has led before
 	// electedAt must be set before the term key is applied, or the term would look
 	// as if another controller had won it.
-	s.firstTerm = leadership.TermModRevision == 0 // no controller has led before
 	s.electedAt, s.electedRevision = s.now, revision
 	s.apply(Item{Key: keyTerm, Value: mustMarshal(termValue{leadership.Term, s.cfg.Self}), ModRevision: revision})
 	s.apply(Item{Key: keyLeader, Value: mustMarshal(leaderValue{s.cfg.Self, leadership.Term, s.leaseID}), ModRevision: revision})
@@ -183,8 +184,9 @@
 	}
 }
 
-// requestVotes asks the peers for promises, as candidate or leader, and does so again
-// after interval.
+// requestVotes asks this controller's own voter and the peers for promises, as
+// candidate or leader. The next request is due after interval. A leader also asks for
+// read leases once its last complete read is older than a quarter of the allowed age.
 func (s *State) requestVotes(interval time.Duration) {
 	s.requestVotesAt = s.now + interval
 	leadership := s.leadership
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -14,25 +14,27 @@
 	leadership         *election.Leadership // campaign or leadership; nil for a follower
 	leaseID            uint64               // lease of the leader key
 	leaseRequestedAt   time.Duration        // when that lease was requested
-	keyRequestInFlight bool                 // a request for the lease or the leader key is in flight
-	renewalInFlight    bool                 // a renewal of the leader key is in flight
+	keyRequestInFlight bool                 // a candidate's request for the lease or the key
+	renewalInFlight    bool                 // a leader's request to renew or recreate the key
 
 	// campaignAt is when the next campaign may start, or the deadline of the current
-	// one. The leader requests votes and renews its key next at requestVotesAt and
-	// renewAt; the next announcement of a restart is due at announceRestartAt. Until
+	// one. Votes are next requested at requestVotesAt, the leader key is next renewed
+	// at renewAt, and a restart is next announced at announceRestartAt. Until
 	// noCampaignUntil this controller does not campaign, because it has stepped down
 	// in favor of another.
 	campaignAt, requestVotesAt, renewAt, announceRestartAt, noCampaignUntil time.Duration
 
-	steppedDownUnreached bool          // stepped down because no worker reached it, and none has since
+	// steppedDownUnreached is set if this controller stepped down because no worker
+	// reached it, and no worker has reached it since.
+	steppedDownUnreached bool
 	leadershipExpiredAt  time.Duration // when its right to act last expired; 0: never
 
 	electedAt       time.Duration // 0: not elected in the current term
 	electedRevision uint64
 	previousTerm    uint64             // last term that was won when the campaign began
 	transfer        leadershipTransfer // received from a leader whose term has ended
-	firstTerm       bool               // no controller has led, and so rented machines, before this term
-	caughtUp        bool               // the replica includes everything written before the election
+	firstTerm       bool               // no controller has led, and so rented, before this term
+	caughtUp        bool               // the replica includes all changes before the election
 }
 
 // IsLeader reports whether this controller may act as leader now.
@@ -42,7 +44,7 @@
 
 // Epochs, task attempts and rental requests are identified by the term and a counter,
 // so that none is used twice. In epochs and attempts the term is shifted left by these
-// numbers of bits. All stay below 2^53.
+// numbers of bits, and the counter is in the low bits. All stay below 2^53.
 const (
 	fenceBits   = 20
 	attemptBits = 24
@@ -59,8 +61,8 @@
 	}
 }
 
-// stepDownIfSuperseded ends a leadership or campaign if another controller has won its
-// term or a higher one.
+// stepDownIfSuperseded ends a leadership or campaign if a higher term was won, and a
+// campaign also if another controller has won its term.
 func (s *State) stepDownIfSuperseded() {
 	if s.leadership != nil && s.term > s.leadership.Term {
 		s.stepDown("a higher term was won")
@@ -129,8 +131,8 @@
 	return ""
 }
 
-// IsLeaderAt reports whether this controller may act as leader at now. It changes
-// nothing, so that a test can call it without ending an expired leadership.
+// IsLeaderAt reports whether this controller may act as leader at now. Unlike IsLeader
+// it changes nothing, so that a test can call it without ending an expired leadership.
 func (s *State) IsLeaderAt(now time.Duration) bool {
 	return s.leadership != nil && s.caughtUp && s.electedAt != 0 && now < s.leadership.ValidUntil()
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -9,15 +9,17 @@
 
 // peerState is what this controller knows about a peer.
 type peerState struct {
-	reachesStore      bool          // the peer reaches the state service, as it last said
-	heardAt           time.Duration // when it last requested a vote or answered a vote request
-	refusedForStoreAt time.Duration // when it last refused a promise because this controller had lost the state service
+	reachesStore bool          // the peer reaches the state service, as it last said
+	heardAt      time.Duration // when it last requested a vote or answered a vote request
+	// refusedForStoreAt is when the peer last refused a promise because this controller
+	// had lost the state service.
+	refusedForStoreAt time.Duration
 
 	refusedTerm         uint64 // last term in which it refused a promise
 	highestTerm         uint64 // highest term that it knows of
-	version             int    // newest version that it knows, by its last message or stored version
+	version             int    // newest version that it knows, as it last said or stored
 	versionStored       bool   // its version is stored in the state service
-	promisedIncarnation uint64 // incarnation of the peer to which this controller last gave a promise
+	promisedIncarnation uint64 // its incarnation that last got a promise from this controller
 	releasedOurPromises bool   // it relies on no promise of this controller's previous incarnation
 }
 
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maintainLeadership renews the promises and the leader key. It steps down when another
-// controller could lead and this one cannot serve.
+// maintainLeadership renews the promises and the leader key. It steps down if this
+// controller cannot serve and another one could lead.
 func (s *State) maintainLeadership() {
 	if s.now >= s.requestVotesAt {
 		s.requestVotes(s.electionConfig.PromiseDuration / 4)
@@ -15,9 +15,9 @@
 		return
 	}
 	if s.sinceStoreContact() > s.storeContactTimeout() {
-		// This leader is cut off from the state service. A peer that reaches it
-		// refuses to renew its promise, so this leader steps down without waiting
-		// for the promises to expire.
+		// This leader is cut off from the state service. If a peer that reaches the
+		// service has refused to renew its promise for that reason, this leader steps
+		// down without waiting for the promises to expire.
 		for _, p := range s.peers {
 			if p.reachesStore && s.now-p.heardAt < s.electionConfig.PromiseDuration/2 && p.refusedForStoreAt > s.now-s.electionConfig.PromiseDuration/2 {
 				s.noCampaignUntil = s.now + s.electionConfig.PromiseDuration
@@ -101,7 +101,8 @@
 		s.renewalInFlight = true
 		leaseID, ownModRevision := result.Lease, uint64(0)
 		if s.leaderTerm == leadership.Term && s.leaderName == s.cfg.Self {
-			ownModRevision = s.leaderModRevision // created by an earlier attempt whose answer was lost
+			// An earlier attempt, whose answer was lost, created the key.
+			ownModRevision = s.leaderModRevision
 		}
 		s.callStore(StoreCall{
 			Op:            StoreTxn,
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -6,8 +6,8 @@
 // incarnation gave.
 
 // announceRestart asks the peers, after a start, to release this controller from
-// promises of its previous incarnation. If it waited until these expire, the workers
-// would lose a part of their lease when all controllers have crashed.
+// promises of its previous incarnation. If it waited until these have expired, a crash
+// of all controllers would cost the workers a part of their lease.
 func (s *State) announceRestart() {
 	if s.voter.CanPromise(s.now) || s.now < s.announceRestartAt {
 		return
@@ -52,8 +52,8 @@
 
 // releasePreviousIncarnation ends what is left of a leadership that this controller had
 // before it restarted: the leader key and the promises to it. No process acts on them
-// any more, and if the others waited for their expiry, the workers would lose their
-// leases.
+// any more. If the other controllers waited until they expire, the workers would lose
+// their leases.
 func (s *State) releasePreviousIncarnation() {
 	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -11,7 +11,7 @@
 // leadershipTransfer is what a leader reported about its machines when its term ended.
 type leadershipTransfer struct {
 	term         uint64
-	receivedAt   time.Duration  // when the message arrived, which is never before it was sent
+	receivedAt   time.Duration  // when the message arrived, which is after it was sent
 	sinceReplyMs map[string]int // by machine: milliseconds since the last reply to it
 }
 
@@ -33,13 +33,13 @@
 
 // handleTransfer applies a former leader's report. It may arrive before or after this
 // controller's own election.
-func (s *State) handleTransfer(m PeerMsg) {
-	if m.Term <= s.transfer.term {
-		// It is of an earlier term, or a late copy, whose times would count from
-		// its own arrival and so be too late.
+func (s *State) handleTransfer(message PeerMsg) {
+	if message.Term <= s.transfer.term {
+		// The message is of an earlier term, or a late copy. The times in a copy
+		// would count from its own arrival and so be too late.
 		return
 	}
-	s.transfer = leadershipTransfer{m.Term, s.now, m.Counts}
+	s.transfer = leadershipTransfer{message.Term, s.now, message.Counts}
 	if !s.IsLeader() {
 		return
 	}
