--- a/internal/core/externalcalls.go
+++ b/internal/core/externalcalls.go
@@ -24,13 +24,13 @@
 	CallID  uint64
 	Op      CloudOp
 	Request string // rent: name of the rental request, never used twice
-	Type    string
+	Type    string // rent: machine type
 	Zone    string
 	Spot    bool
-	Count   int
-	Hosts   []string
-	After   string // list: start after this host
-	Limit   int    // list: maximum number of machines
+	Count   int      // rent: number of machines
+	Hosts   []string // return: machines to return
+	After   string   // list: start after this host
+	Limit   int      // list: maximum number of machines
 }
 
 // CloudResult is the result of a CloudCall. Status 0 means that the outcome is
@@ -40,7 +40,7 @@
 	Status int
 	Err    string
 	Types  []model.MachineType
-	Hosts  []string
+	Hosts  []string // rent: the new machines
 	Listed []model.ListedMachine
 	More   bool // list: there are further machines
 }
--- a/internal/core/forward.go
+++ b/internal/core/forward.go
@@ -24,8 +24,8 @@
 	deadline  time.Duration
 }
 
-// notifyPeers sends a durable change to the peers, which get it earlier than by their
-// watch. A late copy is older than what they know and changes nothing.
+// notifyPeers sends a durable change to the peers, which get it earlier than through
+// their watch. If the notice arrives late, the peers know a newer revision and ignore it.
 func (s *State) notifyPeers(key string, value []byte) {
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgChange, Key: key, Value: value, Stamp: s.modRevisions[key]}})
@@ -33,9 +33,9 @@
 }
 
 // forwardToPeer forwards a user's request to a peer that reaches the state service, and
-// reports whether there was one. A request is forwarded only once. This controller may
-// have tried the same change before without learning the outcome. That is safe: the
-// preconditions ensure that the change is made only once.
+// reports whether there was one. A request that a peer has forwarded is not forwarded
+// again. This controller may have tried the same change before without learning the
+// outcome. That is safe: the preconditions ensure that the change is made only once.
 func (s *State) forwardToPeer(from requester, verb, id string, value []byte, wallMs int64) bool {
 	if from.peer != "" {
 		return false
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The machine registry lists the machines in the state service. Its keys are pages, which
-// hold many machines each.
+// The machine registry is the list of machines in the state service. Its keys are pages,
+// which hold many machines each.
 
 // registryState is the leader's view of the registry.
 type registryState struct {
@@ -171,7 +171,7 @@
 	}
 }
 
-// shrinkPage moves machines to other pages until the page is within the limit. It
+// shrinkPage moves machines to other pages until the page is within the limit. A page
 // may exceed the limit if a previous version with other limits wrote it.
 func (s *State) shrinkPage(pageNumber int, page *registryPage) {
 	for i := len(s.machinesByName) - 1; i >= 0 && page.bytes > s.maxPageBytes(); i-- {
@@ -191,8 +191,8 @@
 }
 
 // maxPageBytes returns the maximum size of a page. It is a quarter of the largest
-// value, because each change rewrites a whole page. Where values are small, it is more,
-// so that a page holds several machines.
+// possible value, because each change rewrites a whole page. Where values are small, it
+// is more, so that a page holds several machines.
 func (s *State) maxPageBytes() int {
 	largestValue := min(s.cfg.MaxValueBytes, maxTxnBytes)
 	return max(largestValue/4, min(largestValue*3/4, 1536))
@@ -250,11 +250,12 @@
 	})
 }
 
-// markUnresponsiveMachines stores since when machines have had no reply, once that is a
-// while ago. Without the mark, a successor must wait for a whole lease from its own
-// election before it may start their tasks elsewhere. When a zone is cut off and the
-// leader fails, that doubles the time for which the zone's services are down. Once a
-// mark may be stored, the machine gets no reply until the mark has been removed.
+// markUnresponsiveMachines marks the machines in the registry that have had no reply for
+// a while, with the time of the last reply. Without the mark, a successor must wait for a
+// whole lease from its own election before it may start their tasks elsewhere. When a
+// zone is cut off and the leader fails, that doubles the time for which the zone's
+// services are down. Once a mark may be stored, the machine gets no reply until the mark
+// has been removed.
 func (s *State) markUnresponsiveMachines() {
 	if s.cfg.MaxClockSkew <= 0 || s.now < s.nextUnresponsiveCheckAt {
 		return // without a bound on the clock skew, a successor could not use the marks
@@ -294,6 +295,7 @@
 		latest = min(latest, transferredAt)
 	}
 	if m.storedUnresponsiveSince != 0 && s.cfg.MaxClockSkew > 0 {
+		// The clocks of both leaders may be off by MaxClockSkew.
 		sinceReply := time.Duration(s.wallMs-m.storedUnresponsiveSince)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
 		latest = min(latest, s.now-sinceReply)
 	}
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -16,7 +16,7 @@
 // Versions of messages and stored values.
 const (
 	versionFirst = iota // the version before versions were numbered
-	versionGangs        // adds gangs, and bitmaps of finished tasks that are split into smaller parts
+	versionGangs        // adds gangs, and bitmaps of finished tasks in small parts
 
 	// NewestVersion is the newest version that this program knows.
 	NewestVersion = versionGangs
@@ -95,10 +95,10 @@
 	})
 }
 
-// handlePeerVersion applies the version that a controller says it knows. If it was
-// rolled back, the leader removes its stored version, which no longer holds. A late
-// message from its previous incarnation may cause that wrongly, but costs no more than
-// the stored version.
+// handlePeerVersion applies the version that a controller says it knows. If the
+// controller was rolled back, the leader removes its stored version, which no longer
+// holds. A late message from its previous incarnation may cause that wrongly, but costs
+// no more than the stored version.
 func (s *State) handlePeerVersion(controller string, version int) {
 	peer := s.peers[controller]
 	peer.version = version
@@ -133,11 +133,11 @@
 	})
 }
 
-// knowsNewestVersion reports whether a controller certainly knows this one's version.
-// Either it has said so recently, or its last message or stored version says so and
-// it has been unreachable since the election. A reachable controller sends a message
-// well within two promise durations, so one that was rolled back after it stored its
-// version is noticed.
+// knowsNewestVersion reports whether a peer certainly knows this controller's version.
+// Either it has said so recently, or its last message or stored version says so and two
+// promise durations have passed since the election. A reachable controller sends a
+// message well within that time, so one that was rolled back after it stored its version
+// is noticed.
 func (s *State) knowsNewestVersion(peer *peerState) bool {
 	if peer.version < s.cfg.Version {
 		return false
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -16,8 +16,9 @@
 	"mulleinfall/internal/model"
 )
 
-// keptSample is a message or stored value as a previous version wrote it. For messages
-// it has the fields and the encoded bytes, for values the key and the JSON.
+// keptSample is a message or stored value as a previous version wrote it. For a message,
+// fields is its JSON and bytes its encoding in hex. For a value, name is the key and
+// fields the JSON.
 type keptSample struct{ kind, name, fields, bytes string }
 
 // The files with kept samples: from the version in production, and from the first
@@ -50,7 +51,8 @@
 }
 
 // TestReadsPreviousVersionMessages checks that the messages of previous versions are
-// decoded with the meaning that they had there.
+// decoded with the meaning that they had there. During a rolling upgrade, controllers
+// otherwise misread each other.
 func TestReadsPreviousVersionMessages(t *testing.T) {
 	for file, kinds := range map[string]int{production: 16, firstGangs: 15} {
 		read := 0
@@ -65,7 +67,7 @@
 			}
 			var got PeerMsg
 			if err := msgpack.Unmarshal(encoded, &got); err != nil {
-				t.Errorf("%s: %s: %v", file, sample.name, err)
+				t.Errorf("%s: %s: got error %v, want a message that decodes", file, sample.name, err)
 				continue
 			}
 			var want PeerMsg
@@ -82,9 +84,10 @@
 	}
 }
 
-// TestPreviousVersionsReadMessages checks that a message of this version has the same
-// fields, with the same types of values, as one of a previous version. The only
-// addition is the version number, which the version in production ignores.
+// TestPreviousVersionsReadMessages checks that a message of this version is encoded to
+// the same fields, with the same types of values, as by a previous version, which must be
+// able to read it. The only addition is the version number, which the version in
+// production ignores.
 func TestPreviousVersionsReadMessages(t *testing.T) {
 	for _, file := range []string{production, firstGangs} {
 		for _, sample := range readSamples(t, file) {
@@ -118,8 +121,8 @@
 }
 
 // TestReadsFirstGangsValues checks that a controller that starts with the values stored
-// by the first version with gangs reads its gangs, the cluster version, bitmaps in
-// parts and machines, and encodes them to the same values again.
+// by the first version with gangs reads its gangs, the cluster version, bitmaps in parts
+// and machines, and that it encodes the values in the same way again.
 func TestReadsFirstGangsValues(t *testing.T) {
 	s := newSingleController()
 	revision := uint64(10)
@@ -167,7 +170,7 @@
 		s.apply(Item{Key: prefixProgress + "req-000010/" + part, Value: json.RawMessage(stored[prefixProgress+"req-000010/"+part]), ModRevision: revision})
 	}
 	if j := s.jobs["req-000010"]; j.doneCount != 2334 || !j.isDone(6999) || j.isDone(6998) {
-		t.Errorf("got %d finished tasks, want 2334, with the last task done and the one before not", j.doneCount)
+		t.Errorf("got %d finished tasks, want 2334, with task 6999 done and task 6998 not", j.doneCount)
 	}
 }
 
@@ -195,7 +198,7 @@
 	}
 	j := s.jobs["req-000105"]
 	if j == nil || j.Class != "nightly" || j.Tasks != 1 || j.CPUs != 1 || j.EstimateS != 9.5 || j.phase != model.PhaseDone {
-		t.Errorf("req-000105: got %+v, want a finished job of class nightly with 1 task, 1 CPU and an estimate of 9.5", j)
+		t.Errorf("req-000105: got %+v, want a finished job of class nightly with 1 task, 1 CPU and an estimate of 9.5 s", j)
 	}
 	if j := s.jobs["req-000009"]; j == nil || j.phase != model.PhaseAborted {
 		t.Errorf("req-000009: got %+v, want a cancelled job", j)
@@ -205,7 +208,7 @@
 	}
 	for _, m := range s.machines {
 		if !m.registered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
-			t.Errorf("machine %s: got %+v, want a registered machine of type small on page 1", m.host, m)
+			t.Errorf("machine %s: got %+v, want a registered machine of type small with endpoint w%[1]s on page 1", m.host, m)
 		}
 	}
 	if len(s.machines) < 2 {
@@ -374,7 +377,7 @@
 				if change.Key == prefixPages+"1" {
 					for host := range hosts {
 						if _, listed := page[host]; !listed && storedPages[host] == 1 {
-							t.Errorf("machine %s: got no stored page, want one", host)
+							t.Errorf("machine %s: got no stored page while page 1 is written without it, want one", host)
 						}
 					}
 				}
@@ -394,7 +397,7 @@
 	}
 	for host := range hosts {
 		if m := s.machines[host]; m == nil || !m.registered || m.page != storedPages[host] || m.storedPage != storedPages[host] {
-			t.Errorf("machine %s: want registered on page %d, planned and stored, got %+v", host, storedPages[host], m)
+			t.Errorf("machine %s: want a registered machine with planned and stored page %d, got %+v", host, storedPages[host], m)
 		}
 	}
 }
