--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -160,7 +160,7 @@
 	// requests for promises carry it.
 	TermModRevision   uint64
 	campaignStartedAt time.Duration
-	keyRequestedAt    time.Duration // when the last successful request for the key was sent
+	keyRequestedAt    time.Duration // when the key's last successful request or renewal was sent
 	hasKey            bool
 	promises          map[string]time.Duration // by voter: when the promise was requested
 	// majorityUntil is when the majority of promises may end. It is read with
