--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -75,16 +75,17 @@
 	if leading {
 		share = 1 - share*(controllers-1)
 	}
-	rps := s.cfg.StoreWriteRPS * 0.95 * share
-	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(rps))
-	s.writeRate.SetBurstAt(s.limiterTime(), max(1, int(rps)))
+	writesPerSecond := s.cfg.StoreWriteRPS * 0.95 * share
+	s.writeRate.SetLimitAt(s.limiterTime(), rate.Limit(writesPerSecond))
+	s.writeRate.SetBurstAt(s.limiterTime(), max(1, int(writesPerSecond)))
 }
 
 // maxTxnBytes limits the estimated size of a transaction's changes. The state service
 // accepts 64 KiB; the rest is left for preconditions.
 const maxTxnBytes = 48 << 10
 
-// sendNextTxn sends the next transaction, if none is in flight.
+// sendNextTxn sends the next transaction, if none is in flight and the rate limits
+// allow it. It also ends the writes that are not to be tried any more.
 func (s *State) sendNextTxn() {
 	if s.txnInFlight || len(s.queue) == 0 || s.now < s.nextTxnAt {
 		return
@@ -93,13 +94,14 @@
 	s.queue = nil // collects the writes that the callbacks below queue
 	next := &batch{maxOps: s.cfg.MaxTxnOps, keys: map[string]bool{}}
 	for _, w := range waiting {
-		if s.isObsolete(w) {
+		if s.shouldDrop(w) {
 			w.done(failed)
 			continue
 		}
 		next.add(w)
 	}
 	added := s.queue
+	// All writes stay queued if the transaction cannot be sent now.
 	s.queue = append(next.writes[:len(next.writes):len(next.writes)], next.deferred...)
 	for _, w := range added {
 		s.insertWrite(w)
@@ -114,9 +116,9 @@
 	s.transact(next.writes, next.requiresLeadership)
 }
 
-// isObsolete reports whether w must not be tried any more, because its leadership or
+// shouldDrop reports whether w must not be tried any more, because its leadership or
 // its deadline is over, or because it is no longer needed.
-func (s *State) isObsolete(w *write) bool {
+func (s *State) shouldDrop(w *write) bool {
 	if w.leaderTerm != 0 && (!s.IsLeader() || s.leadership.Term != w.leaderTerm) {
 		return true
 	}
