--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -27,7 +27,7 @@
 	EstimateS        float64  `json:"guessS"`              // expected run time of a task
 	CheckpointEveryS float64  `json:"snapshotEveryS"`      // 0: tasks save no checkpoints
 	CheckpointCostS  float64  `json:"snapshotCostS"`       // how long it takes to save a checkpoint
-	DueS             *float64 `json:"dueS,omitempty"`      // when the job is due, counted from submission
+	DueS             *float64 `json:"dueS,omitempty"`      // when the job is due, after submission
 }
 
 // Values of Job.Kind and Job.Priority.
@@ -95,7 +95,8 @@
 	return false
 }
 
-// MaxTasksPerZone returns how many tasks of the job may be in one zone at a time.
+// MaxTasksPerZone returns how many tasks of the job may be in one zone at a time:
+// half of them, rounded up, if the job is to be spread.
 func (j *Job) MaxTasksPerZone() int {
 	if j.Spread {
 		return (j.Tasks + 1) / 2
@@ -153,7 +154,8 @@
 	Saved   bool   `json:"saved,omitempty"`
 }
 
-// Report is a worker's report on itself and its tasks.
+// Report is a worker's report on itself and its tasks. Reports are numbered by Seq. A
+// new Session begins when the worker's lease has expired, which ends all its tasks.
 type Report struct {
 	Host       string       `json:"host"`
 	Endpoint   string       `json:"endpoint"`
@@ -163,7 +165,7 @@
 	Session    uint64       `json:"tenure"`
 	Seq        uint64       `json:"tick"`
 	Epoch      uint64       `json:"epoch"`
-	ReclaimInS *float64     `json:"recallS"` // time until the cloud reclaims the machine; nil: no notice
+	ReclaimInS *float64     `json:"recallS"` // until the cloud reclaims the machine; nil: no notice
 	Tasks      []TaskReport `json:"pieces"`
 }
 
--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -12,7 +12,7 @@
 	gb   float64
 }
 
-// Has reports whether the machine should hold the image.
+// Has reports whether the machine should hold the image according to the model.
 func (c *Cache) Has(name string) bool { return c.indexOf(name) >= 0 }
 
 func (c *Cache) indexOf(name string) int {
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Dispatcher makes rounds of placement decisions. A round that exhausts its time
-// budget is continued by the next call at the job where it stopped.
+// Dispatcher places waiting tasks on machines in rounds. A round that exhausts its
+// time budget is continued by the next call at the job where it stopped.
 type Dispatcher struct {
 	cfg         Config
 	isResuming  bool
 	resumeJobID string
-	// reserved are the machines kept free for a gang in this round, and
+	// reserved are the machines reserved for a gang in this round, and
 	// previouslyReserved those of the round before.
 	reserved, previouslyReserved map[*Machine]bool
 }
@@ -80,8 +80,8 @@
 	return true
 }
 
-// machinesWithCapacity lists the machines on which a task would fit that needs the
-// least CPUs, GPUs and memory of all waiting jobs.
+// machinesWithCapacity lists the machines whose free capacity is at least the least
+// CPUs, the least GPUs and the least memory that a task of any waiting job needs.
 func machinesWithCapacity(jobs []*Job, machines []*Machine) []*Machine {
 	leastNeed := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for _, j := range jobs {
@@ -172,10 +172,10 @@
 }
 
 // handleNoMachine is called if no machine has capacity for j. If j is at its skip
-// limit and some machine has capacity for other tasks, a machine is kept free for j.
+// limit and some machine has capacity for other tasks, a machine is reserved for j.
 // The task doesn't join the local queue of a machine that holds its image: there is
-// no fetch elsewhere to compare with, and tasks that joined one were stuck behind
-// one estimate while other machines became free.
+// no fetch on a free machine to compare the wait with. Tasks that joined one anyway
+// were stuck behind a single estimate while other machines became free.
 func (d *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, withCapacity []*Machine, env Env) {
 	if j.Skips >= d.cfg.SkipLimit && !j.hasReservation && len(withCapacity) > 0 {
 		d.reserveMachine(now, j, machines, env)
@@ -184,7 +184,7 @@
 
 // choosePath returns the path by which a task of the ranked job goes to the best
 // machine. If waits is true, the task has joined the local queue of a machine that
-// holds its image instead. overtakes says that earlier jobs still wait.
+// holds its image instead. overtakes says that earlier jobs of the same rank still wait.
 func (d *Dispatcher) choosePath(ranking *machineRanking, best rankedMachine, overtakes bool, machines []*Machine, env Env) (path Path, waits bool) {
 	switch {
 	case best.hasImage && overtakes:
@@ -209,7 +209,7 @@
 	return PathFetch, false
 }
 
-// reserveMachine keeps one machine free for a job at its skip limit: the one that
+// reserveMachine reserves one machine for a job at its skip limit: the one that
 // should have capacity soonest. Otherwise smaller tasks would starve the job.
 func (d *Dispatcher) reserveMachine(now time.Duration, j *Job, machines []*Machine, env Env) {
 	j.hasReservation = true
@@ -229,7 +229,8 @@
 }
 
 // earlierJobs lists the jobs of j's rank among those ahead of it that still wait and
-// are not held back by their team's limit.
+// are not held back by their team's limit. Gangs are left out, since skips don't
+// count for them.
 func earlierJobs(ahead []*Job, j *Job, env Env) []*Job {
 	var waiting []*Job
 	for _, a := range ahead {
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -20,8 +20,8 @@
 		return
 	}
 	for waitingBefore := j.Waiting; j.Waiting > 0; {
-		// gangMachines only checks capacity. How the tasks placed so far affect the
-		// next one, by zone or limit, is checked for each task here.
+		// gangMachines checked the machines with no task placed yet. Each task that is
+		// placed counts for the zones and the limit, so both are checked again here.
 		var m *Machine
 		for len(targets) > 0 && m == nil {
 			if p := targets[0]; p.Free.Fits(j.Need) && env.Allowed(j, p) {
@@ -40,8 +40,8 @@
 
 // gangMachines lists machines that together have capacity for all waiting tasks of
 // j. Those that have the image soonest come first, since the gang starts once the
-// last of its tasks has its image. If the gang needs a single zone, all are in the
-// zone where that is soonest.
+// last of its tasks has its image. If the gang needs a single zone, all machines are
+// in the zone where it can start soonest. The result is false if there are none.
 func gangMachines(now time.Duration, j *Job, machines []*Machine, env Env) ([]*Machine, bool) {
 	var best []*Machine
 	found, shortestFetch := false, Never
@@ -101,10 +101,10 @@
 	return n
 }
 
-// reserveForGang keeps those machines free that should have capacity for the whole
-// gang soonest. Otherwise array tasks and local queues refill the machines one task
-// at a time, and they never have enough capacity at once. Only as much as one gang
-// needs is kept free, and for one gang at a time.
+// reserveForGang reserves the machines that should have capacity for the whole gang
+// soonest. Without this, single tasks of other jobs and of local queues refilled the
+// machines one by one, and they never had enough capacity at once. Only as many
+// machines as one gang needs are reserved, and for one gang at a time.
 func (d *Dispatcher) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
 	if !j.MayReserve || len(d.reserved) > 0 {
 		return
@@ -141,7 +141,7 @@
 		fitting := 0
 		for i, m := range eligible {
 			if fitting += tasksOn[m]; fitting >= j.Waiting {
-				longestWait := time.Duration(0)
+				longestWait := time.Duration(0) // machines that the gang already has cost no wait
 				for _, m := range eligible[:i+1] {
 					if !d.previouslyReserved[m] {
 						longestWait = max(longestWait, waitFor[m])
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -31,11 +31,11 @@
 	Spot         bool    // the cloud may reclaim it
 	ServiceCPUs  float64 // CPUs of the services on it, which keep it from being returned soon
 	Ref          any     // the caller's own record of the machine
-	reserved     bool    // kept free in this round for a task at its skip limit or for a gang
+	reserved     bool    // in this round, for a task at its skip limit or for a gang
 	priceClass   int     // class of its price per CPU in this round
 }
 
-// IsReserved reports whether m is kept free for a task at its skip limit or for a gang.
+// IsReserved reports whether m is reserved for a task at its skip limit or for a gang.
 func (m *Machine) IsReserved() bool { return m.reserved }
 
 // Fetch is the fetch of an image to a machine.
@@ -53,7 +53,7 @@
 	WaitDeadline time.Duration
 }
 
-// remainingFetchGB returns how many GB the fetches under way on m have left.
+// remainingFetchGB estimates how many GB the fetches under way on m have left.
 func (m *Machine) remainingFetchGB(now time.Duration) float64 {
 	remaining := 0.0
 	for _, f := range m.Fetching {
@@ -75,7 +75,8 @@
 }
 
 // fetchTime estimates how long a task of j that is placed on m now waits for its
-// image: the GB of the image and of all fetches under way over the fetch rate.
+// image: the size of the image plus what the fetches under way have left, divided by
+// the fetch rate. It is 0 if m has the image.
 func (m *Machine) fetchTime(now time.Duration, j *Job) time.Duration {
 	if m.Images.Has(j.Image) {
 		return 0
@@ -97,7 +98,8 @@
 }
 
 // EstimateWait estimates how long it takes until m has capacity for one more task
-// of j after all tasks of its local queue.
+// of j after all tasks of its local queue. It returns Never if the running tasks that
+// have an estimated end don't free enough.
 func (m *Machine) EstimateWait(now time.Duration, j *Job) time.Duration {
 	need := j.Need
 	for _, q := range m.LocalQueue {
@@ -108,7 +110,7 @@
 	}
 	free := m.Free
 	latestEnd := now
-	nextQueued := 0 // index in the local queue
+	nextQueued := 0 // index in the local queue of the next task to start
 	for _, r := range m.Running {
 		if r.EndAt == Never {
 			break
--- a/internal/sched/machine_order.go
+++ b/internal/sched/machine_order.go
@@ -59,8 +59,8 @@
 
 func (m *Machine) pricePerCPU() float64 { return m.PricePerHour / max(m.Capacity.CPUs, 1) }
 
-// leftoverShare returns which shares of m's CPUs, memory and GPUs are left free by
-// one more task of j, added up.
+// leftoverShare returns the sum of the shares of m's CPUs, memory and GPUs that are
+// still free after one more task of j is placed on it.
 func leftoverShare(m *Machine, j *Job) float64 {
 	left := 0.0
 	if m.Capacity.CPUs > 0 {
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -62,8 +62,8 @@
 	return rankedMachine{m, m.Images.Has(r.job.Image), m.fetchTime(r.now, r.job), leftoverShare(m, r.job)}
 }
 
-// best returns the machine for the next task. It drops machines that tasks placed
-// since the ranking was made have reserved or ruled out.
+// best returns the machine for the next task. It drops machines that have been
+// reserved or are no longer allowed since the ranking was made.
 func (r *machineRanking) best(env Env) (rankedMachine, bool) {
 	for len(r.list) > 0 {
 		if top := r.list[0]; !top.machine.reserved && env.Allowed(r.job, top.machine) {
@@ -104,7 +104,7 @@
 	shortestWait := Never
 	for i := range r.holders {
 		holder := &r.holders[i]
-		// Names break ties: the choice must not depend on the order of insertion.
+		// IDs break ties: the choice must not depend on the order of insertion.
 		if holder.delay < shortestWait || holder.delay == shortestWait && best != nil && holder.machine.ID < best.ID {
 			if !holder.machine.reserved && env.Allowed(r.job, holder.machine) {
 				best, shortestWait = holder.machine, holder.delay
--- a/internal/sched/reference_rule_test.go
+++ b/internal/sched/reference_rule_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// referenceRule is the dispatch rule of the design, task by task and machine by
-// machine. It is slow, and the Dispatcher's ranking must decide the same.
+// referenceRule applies the dispatch rule of the design task by task and machine by
+// machine. It is slow, and the Dispatcher with its ranking must decide the same.
 type referenceRule struct{ cfg Config }
 
 func (r referenceRule) run(now time.Duration, jobs []*Job, machines []*Machine, env Env) {
@@ -51,13 +51,13 @@
 				hit = m
 			}
 		case m.Free.Fits(j.Need):
-			if c := m.fetchTime(now, j); free == nil || c < fetchDelay || c == fetchDelay && isBetter(m, free, j) {
-				free, fetchDelay = m, c
+			if delay := m.fetchTime(now, j); free == nil || delay < fetchDelay || delay == fetchDelay && isBetter(m, free, j) {
+				free, fetchDelay = m, delay
 			}
 		case m.holdsImage(j):
-			if w := m.EstimateWait(now, j); w < Never {
-				if c := max(w, m.fetchTime(now, j)); c < holderDelay {
-					holder, holderDelay = m, c
+			if wait := m.EstimateWait(now, j); wait < Never {
+				if delay := max(wait, m.fetchTime(now, j)); delay < holderDelay {
+					holder, holderDelay = m, delay
 				}
 			}
 		}
@@ -194,9 +194,9 @@
 	return f.output.String()
 }
 
-// TestRankingMatchesReferenceRule guards against decisions that change because the
-// dispatcher looks at each machine only once per job, and only at machines with
-// free capacity.
+// TestRankingMatchesReferenceRule guards against decisions that differ from the
+// dispatch rule because the dispatcher looks at each machine only once per job, and
+// only at machines with free capacity.
 func TestRankingMatchesReferenceRule(t *testing.T) {
 	paths := map[Path]int{}
 	for seed := uint64(1); seed <= 300; seed++ {
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -3,7 +3,8 @@
 // Resources is what a task needs, or what a machine has in total or left.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// roundingTolerance absorbs rounding errors from adding and subtracting decimal amounts many times.
+// roundingTolerance absorbs rounding errors from adding and subtracting decimal amounts
+// many times.
 const roundingTolerance = 1e-6
 
 // Fits reports whether need fits in r.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,10 +1,11 @@
 // Package sched decides which waiting task goes to which machine
 // (docs/design.md). Jobs wait in one global queue in order of arrival, and each
 // machine has a local queue. A task preferably goes to a free machine that
-// already holds its image (a hit), even ahead of earlier tasks, up to a skip
-// limit. Otherwise it waits for a machine that holds the image or has the image
-// fetched elsewhere, whichever is sooner. The package does no I/O and reads no
-// clock: callers pass the current time.
+// already holds its image (a hit), even ahead of earlier tasks, until one of
+// those has been skipped as often as the skip limit allows. If no free machine
+// holds the image, the task waits for a machine that does, or has the image
+// fetched to a free one, whichever is sooner. The package does no I/O and reads
+// no clock: callers pass the current time.
 package sched
 
 import "time"
@@ -22,16 +23,18 @@
 	IsService         bool          // runs until it is cancelled
 	IsGang            bool          // starts only when all its tasks fit now
 	OneZone           bool          // a gang whose tasks must all be in one zone
-	MayReserve        bool          // a gang for which machines may be kept free
+	MayReserve        bool          // a gang for which machines may be reserved
 	RestartMissesGoal bool          // a task that has to restart would miss the goal of its class
 	Waiting           int           // tasks in the global queue
 	Skips             int           // how often a later task went first
 	Ref               any           // the caller's own record of the job
-	hasReservation    bool          // a machine is kept free for it in this round
+	hasReservation    bool          // reserveMachine has been called for it in this round
 }
 
 // Config holds the operator's settings for dispatch.
 type Config struct {
+	// SkipLimit is how many later tasks may be placed ahead of a waiting job. After
+	// that the job's next task takes any free machine, or has a machine reserved.
 	SkipLimit int
 }
 
@@ -57,9 +60,9 @@
 const (
 	PathHit        Path = "hit"       // first in the queue; the machine holds the image
 	PathSkipHit    Path = "skip_hit"  // a hit that went ahead of earlier tasks
-	PathFetch      Path = "fetch"     // fetching the image is sooner than waiting for a machine that holds it
+	PathFetch      Path = "fetch"     // a fetch is sooner than the wait for a machine with the image
 	PathLocalQueue Path = "local"     // from the machine's local queue
-	PathSkipLimit  Path = "limit"     // skipped SkipLimit times, so placed without waiting for a holder of the image
+	PathSkipLimit  Path = "limit"     // at the skip limit, so it didn't wait for the image
 	PathGang       Path = "gang"      // together with all other tasks of its gang
 	PathPassMiss   Path = "pass_miss" // without the image, ahead of tasks that fit nowhere now
 )
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -13,15 +13,15 @@
 
 var update = flag.Bool("update", false, "rewrite the kept traces")
 
-// scriptedDispatcher implements Env for a dispatcher whose machines and jobs are
-// set up by a script. It records the decisions.
+// scriptedDispatcher runs a dispatcher whose machines and jobs are set up by a
+// script. It implements Env and records the decisions.
 type scriptedDispatcher struct {
 	now          time.Duration
 	dispatcher   *Dispatcher
 	machines     []*Machine
 	jobs         []*Job
 	cpuLimit     map[string]float64 // by job: CPUs that its team may still use
-	budget       int                // calls of BudgetExhausted that return false; 0: no limit
+	budget       int                // calls of BudgetExhausted that return false in a round; 0: all
 	budgetChecks int
 	gangTasksOn  map[*Machine]int // tasks of the gang that is being placed
 	output       strings.Builder
@@ -191,6 +191,8 @@
 	}
 }
 
+// TestCacheKeepsMostRecent checks that a full cache drops the image that was used
+// least recently, not the one that was fetched first.
 func TestCacheKeepsMostRecent(t *testing.T) {
 	c := &Cache{SizeGB: 5}
 	c.Use("a", 2)
