--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -23,8 +23,8 @@
 	From int    `json:"from,omitempty"` // index in the chunk of the part's first byte
 }
 
-// chunk is a section of a job's bitmap of finished tasks. Each chunk has its own key, so
-// that the bitmap of the largest job fits the state service's limit on values.
+// chunk is a section of a job's bitmap of finished tasks. Each chunk has keys of its own,
+// since the bitmap of a large job may exceed the state service's limit on values.
 type chunk struct {
 	dirty        bool // some bits are not yet stored
 	writing      bool
@@ -38,8 +38,9 @@
 	chunkWords = chunkTasks / 64
 )
 
-// applyBitmapKey merges finished tasks from a stored part of a chunk. The key ends in
-// the number of the chunk and, but for the first part, a dot and the number of the part.
+// applyBitmapKey merges finished tasks from a stored part of a chunk. The name is the id
+// of the job, a slash and the number of the chunk, followed by a dot and the number of
+// the part for all parts but the first.
 func (s *State) applyBitmapKey(name string, item Item) {
 	id, suffix, ok := strings.Cut(name, "/")
 	j := s.jobs[id]
@@ -128,20 +129,21 @@
 	for len(encoded) > 0 && encoded[len(encoded)-1] == 0 {
 		encoded = encoded[:len(encoded)-1]
 	}
-	// A value is limited to this many bytes. All versions can read the first part. The
-	// other parts are written only when all controllers can read them; until then what
-	// they would hold isn't durable, so workers keep it.
+	// A part holds at most this many bytes of the bitmap, so that a value with it in
+	// base64 stays within the limit. All versions can read the first part. The other
+	// parts are written only when all controllers can read them. Until then what they
+	// would hold isn't durable, so workers don't forget those tasks.
 	maxBytes := (s.cfg.MaxValueBytes - 64) * 3 / 4
 	last := max(len(encoded)-1, 0) / maxBytes * maxBytes
 	if s.clusterVersion < versionGangs && last > 0 {
 		if slices.ContainsFunc(c.durableBits[maxBytes/8:], func(w uint64) bool { return w != 0 }) {
 			c.dirty, c.writing = true, false
-			return // the stored value is longer than that, and overwriting it would lose its end
+			return // the stored value is longer than one part, and overwriting it would lose its end
 		}
 		last = 0
 	}
-	// The first part is written last: if it gets shorter, the other parts already hold
-	// what it no longer holds.
+	// The first part is written last: if it gets shorter than the stored value, the other
+	// parts already hold what it no longer holds.
 	for from := last; from >= 0; from -= maxBytes {
 		part := encoded[from:min(from+maxBytes, len(encoded))]
 		key := prefixProgress + j.ID + "/" + strconv.Itoa(number)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -119,8 +119,8 @@
 }
 
 // TestUnreachedControllerDelaysCampaign guards against the election of a controller that
-// the workers don't reach. A controller that had stepped down for that reason was elected
-// again when its successor crashed, which cost the workers a lease. Now it campaigns only
+// the workers can't reach. A controller that had stepped down for that reason was elected
+// again when its successor crashed, which cost the workers a lease. It must campaign only
 // if no other controller has done so for a while, or once a worker has reached it.
 func TestUnreachedControllerDelaysCampaign(t *testing.T) {
 	campaigns := func(s *State, at time.Duration) bool {
@@ -141,23 +141,23 @@
 	}
 	s := unreached()
 	if campaigns(s, 20*time.Second+time.Second) {
-		t.Error("unreached controller: got a campaign at once, want a delay")
+		t.Error("unreached controller: got a campaign 1 s after the leader key changed, want none yet")
 	}
 	s.lastContactAt = 23 * time.Second
 	if !campaigns(s, 23*time.Second) {
-		t.Error("unreached controller: got no campaign after a quarter of the lease without another candidate, want one")
+		t.Error("unreached controller: got no campaign 3 s after the leader key changed, more than a quarter of the lease, want one")
 	}
 	s = unreached()
 	s.Step(20*time.Second, WorkerReport{RequestID: 1})
 	if !campaigns(s, 20*time.Second+time.Second) {
-		t.Error("controller that a worker has reached: got no campaign, want one at once")
+		t.Error("controller that a worker has reached: got no campaign 1 s after the leader key changed, want one")
 	}
 }
 
 // TestOverrunLeaderDelaysCampaign guards against slow controllers that take turns as
 // leader. A controller that lost its leadership because it had too little processor time
-// lets the others campaign first. Otherwise two slow controllers took over from each
-// other again and again while a third one was healthy.
+// must let the others campaign first. When it didn't, two slow controllers took over from
+// each other again and again while a third one was healthy.
 func TestOverrunLeaderDelaysCampaign(t *testing.T) {
 	cfg := newSingleController().cfg
 	cfg.Peers = []string{"n1", "n2"}
@@ -176,22 +176,22 @@
 		return time.Hour
 	}
 	if wait := campaignDelay(0); wait > 100*time.Millisecond {
-		t.Errorf("healthy controller: got a wait of %v, want at most 100ms", wait)
+		t.Errorf("controller that never overran: got a wait of %v, want at most 100ms", wait)
 	}
 	if wait, halfPromise := campaignDelay(19*time.Second), cfg.Lease*3/32; wait < halfPromise || wait > 2*halfPromise {
-		t.Errorf("controller that overran 1 s ago: got a wait of %v, want from %v, half of a promise, to twice that", wait, halfPromise)
+		t.Errorf("controller that overran 1 s ago: got a wait of %v, want %v (half of a promise) to twice that", wait, halfPromise)
 	}
 	if wait := campaignDelay(5 * time.Second); wait > 100*time.Millisecond {
 		t.Errorf("controller that overran more than a lease ago: got a wait of %v, want at most 100ms", wait)
 	}
 }
 
-// TestVotesDuringStartupWait checks when a controller votes before its startup wait is
-// over. It doesn't know what its previous incarnation promised, so it may vote only if
-// such promises can't matter: the precondition of the candidate's key is the modification
-// revision of the term key that the controller has read since its start, and the winner
-// of that term is the controller's own previous incarnation, or has confirmed that it
-// doesn't rely on its promises.
+// TestVotesDuringStartupWait guards against a vote that breaks a promise of the previous
+// incarnation, which a controller no longer knows after a restart. Before its startup wait
+// is over it may vote only if such promises can't matter. That holds if the precondition
+// of the candidate's key is the modification revision of the term key that the controller
+// has read since its start. In addition, the winner of that term must be the controller's
+// own previous incarnation, or have confirmed that it doesn't rely on its promises.
 func TestVotesDuringStartupWait(t *testing.T) {
 	startingController := func(winner string) *State {
 		cfg := newSingleController().cfg
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestUserWritesGoFirst checks that a user's change goes into the next transaction,
-// however many changes of the leader are queued.
+// TestUserWritesGoFirst guards against users' changes that wait behind the leader's: a
+// user's change goes into the next transaction, however many of the leader's are queued.
 func TestUserWritesGoFirst(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact = true, true
@@ -311,8 +311,8 @@
 // TestUnresponsiveMarkLeavesTimeForSuccessor checks that a machine is not marked as
 // unresponsive before its worker has had time to find the next controller, which takes up
 // to five seconds after a crash. A marked machine has to wait for two writes of its
-// registry page; in a scenario of crashes and short report intervals half as many tasks
-// again were killed at the end of their lease because of that.
+// registry page. When machines were marked too early, half as many tasks again were killed
+// at the end of their lease in a scenario of crashes and short report intervals.
 func TestUnresponsiveMarkLeavesTimeForSuccessor(t *testing.T) {
 	for _, c := range []struct{ report, want time.Duration }{
 		{1500 * time.Millisecond, 3 * time.Second}, // two report intervals, since the lease is short
@@ -340,8 +340,8 @@
 	}
 }
 
-// TestFullWriteQueueRefusesAtOnce checks that a submission that can't be written before
-// its time-out is refused when it arrives, not when it times out.
+// TestFullWriteQueueRefusesAtOnce guards against users who wait for a time-out in vain: a
+// submission that can't be written in time is refused when it arrives.
 func TestFullWriteQueueRefusesAtOnce(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact, s.lastContactAt = true, true, time.Second
@@ -417,9 +417,10 @@
 	}
 }
 
-// TestOverdueCancellations checks that a machine that still shows a cancelled job's task
-// counts as overdue after three fifths of the time allowed. So it does for a leader
-// elected in between, which first tries to stop the task.
+// TestOverdueCancellations guards against cancelled tasks that run beyond the time allowed
+// because the machine that still shows them is given up too late. The machine counts as
+// overdue after three fifths of that time, also for a leader elected in between, which
+// first tries to stop the task.
 func TestOverdueCancellations(t *testing.T) {
 	for _, c := range []struct {
 		seen, elected, now float64
@@ -450,7 +451,7 @@
 // TestGangAttemptsAreNotMixed checks that a leader that sees two attempts of a gang stops
 // both, since tasks of different attempts never find each other. It also checks that a
 // machine on which a task of an attempt has ended gets no other task of that attempt,
-// since it would take the start order for a duplicate.
+// since it would treat the start order as a duplicate.
 func TestGangAttemptsAreNotMixed(t *testing.T) {
 	s := newSingleController()
 	s.loaded, s.hasContact, s.caughtUp = true, true, true
@@ -483,9 +484,9 @@
 	}
 }
 
-// TestNewLeaderLearnsRentalTimes checks that a new leader, which doesn't know when
-// machines were rented, learns it from the cloud's list. So an idle machine is returned
-// without another minimum charge.
+// TestNewLeaderLearnsRentalTimes guards against another minimum charge for an idle machine
+// after a change of leader. A new leader doesn't know when machines were rented, and
+// learns it from the cloud's list.
 func TestNewLeaderLearnsRentalTimes(t *testing.T) {
 	s := newSingleController()
 	s.types["small"] = &model.MachineType{Name: "small", BootS: 10}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -11,14 +11,14 @@
 // dispatchState is what a leader keeps from one dispatch round to the next.
 type dispatchState struct {
 	dispatcher       *sched.Dispatcher
-	attemptCounter   uint64           // numbers the attempts of this term
+	attemptCounter   uint64           // number of the last attempt of this term
 	dispatchNeeded   bool             // something has changed that may allow a placement
 	budgetOverruns   int              // rounds that exhausted their time budget
 	viewBuffer       []*sched.Machine // reused by each round
 	placementsByPath map[sched.Path]int
 	teamUsage        map[string]sched.Resources // of all bound tasks, by team
 	nextRoundAt      time.Duration              // no round before this time
-	nextTimedRoundAt time.Duration              // no round before this time if nothing has changed
+	nextTimedRoundAt time.Duration              // if nothing has changed, no round before this time
 	nextDrainAt      time.Duration
 	nextCountsAt     time.Duration
 }
@@ -70,7 +70,7 @@
 	s.answerReports()
 	for _, m := range env.changedMachines {
 		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
-			break // sockets are limited; the rest is sent with later reports and ticks
+			break // sockets are limited: the other orders are sent with later reports and ticks
 		}
 		if !m.commandInFlight && s.now >= m.nextCommandAt && m.reconciled && m.endpoint != "" {
 			s.sendUnsentOrders(m)
@@ -78,12 +78,11 @@
 	}
 }
 
-// roundsPerReport is the highest number of dispatch rounds in a worker's report
-// interval.
+// roundsPerReport limits the dispatch rounds in a worker's report interval.
 const roundsPerReport = 24
 
-// runRound runs the dispatch rule for the jobs in queue, then preempts and drains
-// machines for those that still wait.
+// runRound runs the dispatch rule for the jobs in queue, then preempts other work and
+// drains machines for those that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
@@ -99,8 +98,8 @@
 		}
 	}
 	s.viewBuffer = env.views
-	// Tasks in a local queue don't count in the global queue. Entries of jobs that
-	// have no waiting task for them are dropped.
+	// A task in a local queue doesn't count in the global queue. Entries in local queues
+	// are dropped if their job has no waiting task for them.
 	for _, v := range env.views {
 		if len(v.LocalQueue) == 0 {
 			continue
@@ -124,7 +123,7 @@
 		if s.budgetOverruns++; s.budgetOverruns%4 != 0 {
 			return
 		}
-		// Preemption and draining run all the same after every fourth incomplete round.
+		// After every fourth incomplete round, preemption and draining run all the same.
 	}
 	s.preemptForQueue(queue, env)
 	if s.now >= s.nextDrainAt {
@@ -133,8 +132,8 @@
 	}
 }
 
-// buildQueue lists the jobs with waiting tasks that may start, most urgent first and
-// then by arrival.
+// buildQueue lists the jobs with waiting tasks that may start, the most urgent first and
+// those of the same rank by arrival.
 func (s *State) buildQueue() []*job {
 	if !s.takeoverComplete {
 		s.unaccountedFor = s.unaccountedFor[:0]
@@ -195,20 +194,20 @@
 	return s.jobAge(j)+time.Duration(2.5*j.EstimateS*float64(time.Second)) > s.completionTarget(j)
 }
 
-// maxFirstStartDelay is the time in which the first task of every job must have
-// started (PROTOCOL, in the part that the operators added).
+// maxFirstStartDelay is the time within which the first task of every job must have
+// started, as the operators' addition to PROTOCOL demands.
 const maxFirstStartDelay = 4 * time.Minute
 
-// isStarved reports whether j has waited for a third of maxFirstStartDelay without
-// any of its tasks having started. One task of it then goes ahead of everything else.
-// Otherwise a class would never be served while there is more urgent work than
-// machines.
+// isStarved reports whether j has waited for a third of maxFirstStartDelay and none of
+// its tasks has a machine or is done. One task of it then goes ahead of everything else.
+// Otherwise a class would never be served while there is more urgent work than the
+// machines can take. Gangs don't count.
 func (s *State) isStarved(j *job) bool {
 	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
 
-// queueRank returns the rank by which j goes ahead of earlier jobs; jobs of the same
-// rank are served by arrival.
+// queueRank returns j's rank in the queue. Jobs of a lower rank go ahead of earlier
+// jobs, and jobs of the same rank are served by arrival.
 func queueRank(j *job) int {
 	return j.rank
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -5,13 +5,13 @@
 	"mulleinfall/internal/sched"
 )
 
-// drainDivisor limits draining to one machine plus one in drainDivisor of all machines
-// at a time.
+// drainDivisor limits draining: at a time, one machine plus a share of 1/drainDivisor
+// of the usable machines may be drained.
 const drainDivisor = 16
 
-// drainMachines keeps a few machines from being refilled while jobs wait whose tasks
-// need more capacity than any machine has free. It chooses the machines that should
-// have that capacity first.
+// drainMachines keeps a few machines from being refilled with small tasks while jobs
+// wait whose tasks need more capacity than any machine has free. It chooses the machines
+// that should have that capacity first.
 func (s *State) drainMachines(queue []*job, env *roundEnv) {
 	remaining := 1 + len(env.views)/drainDivisor
 	draining := s.continueDraining(env)
@@ -43,15 +43,15 @@
 		case j.queueEntry == nil || j.queueEntry.Waiting == 0:
 			m.reservedFor = nil // its tasks were placed elsewhere, or it is final
 		case s.now < m.reservedUntil && !draining[j] && v.Capacity.Fits(j.queueEntry.Need):
-			draining[j] = true // the same machine goes on
+			draining[j] = true // the same machine continues to be drained
 			m.reservedUntil = s.now + s.cfg.ReportInterval
 		}
 	}
 	return draining
 }
 
-// canDrainFor reports whether a machine may be drained for j. For gangs the dispatch
-// rule reserves machines, and prod work preempts other work instead.
+// canDrainFor reports whether a machine may be drained for j: not for a gang, for which
+// the dispatch rule reserves machines, and not for prod work, which preempts other work.
 func (s *State) canDrainFor(j *job) bool {
 	return j.queueEntry.Waiting > 0 && j.rank != model.PriorityRank(model.PriorityProd) && j.Kind != model.KindGang && s.isWithinLimit(j, 1)
 }
@@ -64,7 +64,7 @@
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if v.IsReserved() || !v.Capacity.Fits(j.queueEntry.Need) || !s.allowed(j, m) {
-			continue // a machine reserved for a gang must stay open to it
+			continue // draining a machine that is reserved for a gang would keep the gang off it
 		}
 		if w := v.EstimateWait(s.now, j.queueEntry); w < shortestWait {
 			best, shortestWait = m, w
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -15,7 +15,7 @@
 	s         *State
 	job       *job
 	teamUsage map[string]sched.Resources // by team, without the victims
-	// victims are the tasks chosen to be stopped; of a gang always all tasks.
+	// victims are the tasks chosen to be stopped. They include all tasks of a gang or none.
 	victims map[*task]bool
 	// placed counts the tasks of the job that will fit on each machine so far.
 	placed map[*machine]int
@@ -39,8 +39,9 @@
 	return e.s.isWithinGuarantee(e.job, 1, e.teamUsage)
 }
 
-// cheapestOption picks the tasks on m whose stop loses the least work and lets one more
-// task of the job fit. It returns false if stopping all that may be stopped isn't enough.
+// cheapestOption picks the tasks on m that lose the least work if they are stopped to let
+// one more task of the job fit. It returns false if stopping all that may be stopped isn't
+// enough. The time for a fetch of the image counts as lost work.
 func (e *eviction) cheapestOption(m *machine) (evictionOption, bool) {
 	option := evictionOption{machine: m}
 	need := e.job.need()
@@ -60,14 +61,14 @@
 	return option, free.Fits(need)
 }
 
-// pickVictims adds tasks to option, the least lost work first, until one more task of the job
-// fits. It returns the free resources after that.
+// pickVictims adds tasks to option, those with the least lost work first, until one more
+// task of the job fits. It returns the free resources after that.
 func (e *eviction) pickVictims(option *evictionOption, stoppable []*task, free sched.Resources) sched.Resources {
 	if len(stoppable) == 0 {
 		return free
 	}
 	slices.SortFunc(stoppable, e.s.compareLostWork)
-	freed := map[string]sched.Resources{} // quota freed by the victims so far, by team
+	freed := map[string]sched.Resources{} // fall of each team's usage with the victims so far
 	for _, t := range stoppable {
 		if free.Fits(e.job.need()) {
 			break
@@ -78,7 +79,7 @@
 			continue
 		}
 		if !e.canStop(t, freed[team]) {
-			continue // with the victims so far, its team no longer exceeds its guarantee
+			continue // stopping it as well would bring its team below its guarantee
 		}
 		freed[team] = freed[team].Add(e.freedQuota(t))
 		free = free.Add(t.job.need())
@@ -101,8 +102,8 @@
 }
 
 // canStop reports whether t may be stopped for the job. Either t is less urgent, or the
-// job is within its team's guarantee and t belongs to another team that exceeds its own
-// guarantee. freed is the part of that team's usage that earlier victims free.
+// job is within its team's guarantee and t belongs to another team that still uses its own
+// guarantee in full without t. freed is how much of that team's usage earlier victims free.
 func (e *eviction) canStop(t *task, freed sched.Resources) bool {
 	if t.stopping || t.job == e.job {
 		return false
@@ -120,14 +121,14 @@
 	return remaining.CPUs > guarantee.CPUs-guaranteeTolerance && remaining.GPUs > guarantee.GPUs-guaranteeTolerance
 }
 
-// isOnlyTaskOfStarvedJob reports whether t is the only running task of a job that was
-// starved, so that the task went ahead of everything else.
+// isOnlyTaskOfStarvedJob reports whether t is the only task with a machine of a job that
+// would be starved without it: the job is old enough, and none of its tasks is done.
 func (s *State) isOnlyTaskOfStarvedJob(t *task) bool {
 	return len(t.job.tasks) == 1 && t.job.doneCount == 0 && s.jobAge(t.job) > maxFirstStartDelay/3
 }
 
-// canStopAll checks the victims again, since options chosen in the meantime may have
-// brought their team down to its guarantee.
+// canStopAll reports whether all victims may still be stopped. Options chosen in the
+// meantime may have brought a team down to its guarantee.
 func (e *eviction) canStopAll(victims []*task) bool {
 	for _, t := range victims {
 		if !e.victims[t] && !e.canStop(t, sched.Resources{}) {
@@ -137,8 +138,8 @@
 	return true
 }
 
-// freedQuota returns by how much its team's usage falls when t is stopped. Stopping a
-// gang's task stops the whole gang.
+// freedQuota returns by how much the usage of t's team falls when t is stopped. Stopping
+// a gang's task stops the whole gang.
 func (e *eviction) freedQuota(t *task) sched.Resources {
 	if t.job.Kind != model.KindGang {
 		return t.job.quotaShare()
@@ -160,7 +161,7 @@
 	}
 	for _, t := range option.victims {
 		if e.victims[t] {
-			continue // ends with another task of its gang
+			continue // it is stopped together with another task of its gang
 		}
 		team := t.job.Team
 		e.teamUsage[team] = e.teamUsage[team].Sub(e.freedQuota(t))
@@ -207,7 +208,7 @@
 // returns true, and loses as little work as possible. It returns for how many tasks.
 func (s *State) preemptFor(j *job, n int, suits func(*machine) bool, env *roundEnv, usage map[string]sched.Resources) int {
 	e := &eviction{s: s, job: j, teamUsage: usage}
-	reservedInZone := map[string]int{} // capacity being made for j in each zone, which counts for the spread
+	reservedInZone := map[string]int{} // machines reserved for j, which count for the spread
 	var options []evictionOption
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -20,10 +20,10 @@
 type gangStatus struct {
 	attempt        uint64
 	started        bool          // its tasks run or ran, so that a lost task can't be replaced
-	gatheringSince time.Duration // when one of its tasks was first seen waiting for the others; 0: never
-	aborting       bool          // it is being stopped; the next attempt starts when all its tasks are gone
+	gatheringSince time.Duration // when a task was first seen waiting for the others; 0: never
+	aborting       bool          // it is being stopped; the next one starts when its tasks are gone
 	// excludedHosts are the machines on which a task of this attempt has ended. They
-	// would take another start order for it for a duplicate.
+	// would treat another start order of this attempt as a duplicate.
 	excludedHosts map[string]bool
 
 	// When the cloud doesn't provide all machines that the gang needs, renting for it
@@ -37,8 +37,8 @@
 }
 
 // isGangSchedulable reports whether tasks of j may be placed now: either all of them,
-// or those that are missing while the others wait for them. If an attempt that has
-// started or is being aborted is not quite gone, a task placed now could run twice, or
+// or those that are missing while the others wait for them. While tasks of an attempt
+// that has started or is being aborted are left, a task placed now could run twice, or
 // in another zone than the rest.
 func (s *State) isGangSchedulable(j *job) bool {
 	if len(j.tasks) == 0 {
@@ -53,7 +53,7 @@
 	return j.gang.gatheringSince == 0 || s.now+s.maxFetchTime(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
 }
 
-// abortGang stops all tasks of an attempt by a single decision.
+// abortGang stops all tasks of the gang's attempt together.
 func (s *State) abortGang(j *job, graceS float64) {
 	if !j.gang.aborting {
 		s.log(slog.LevelDebug, "gang stopped", "job", j.ID, "attempt", j.gang.attempt, "grace_s", graceS, "term", s.leadership.Term)
@@ -70,7 +70,7 @@
 	switch {
 	case g.aborting:
 	case g.started, why == model.CausePeerLost, why == model.CauseGangIncomplete:
-		// What the others still do is useless, so they free their machines at once.
+		// The other tasks' work is of no use any more, so they free their machines at once.
 		s.abortGang(t.job, 0)
 	case t.attempt == g.attempt:
 		if g.excludedHosts == nil {
@@ -109,8 +109,8 @@
 
 // abortIncompleteGangs stops attempts that can't be completed. Either a task was lost
 // after the start, before this leader knew of it, or no machine was found for a missing
-// task while the others waited. Two such gangs that kept waiting once blocked each
-// other, each with half of the capacity.
+// task while the others waited. When such gangs were kept waiting, two of them blocked
+// each other, each with half of the capacity that it needed.
 func (s *State) abortIncompleteGangs() {
 	if s.now < s.nextGangCheckAt {
 		return
@@ -134,8 +134,9 @@
 }
 
 // spareGang returns the gang for which spare capacity is kept, or nil. It is the
-// largest recent gang among the classes whose tasks should start sooner than a machine
-// could be rented. The zone of the original gang is ignored.
+// largest recent gang among the classes whose start goal is at most one and a half times
+// the shortest boot time, so that machines rented only on its arrival would come too
+// late. The spare gang must fit in one zone, which may be any.
 func (s *State) spareGang() *job {
 	if s.cfg.SpareGangs == 0 || s.cfg.GangWaitTimeout == 0 {
 		return nil
@@ -146,7 +147,7 @@
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.Kind != model.KindGang || j.gang.rentPauses > 0 {
-			continue // the cloud doesn't even provide enough for a gang that waits
+			continue // the cloud doesn't even provide enough machines for this gang, which waits
 		}
 		if recent, ok := s.recentGangs[j.Class]; !ok || j.Tasks >= recent.job.Tasks || s.now-recent.seenAt > s.spareCapacityTimeout() {
 			s.recentGangs[j.Class] = recentGang{j, s.now}
@@ -171,11 +172,12 @@
 	return spare
 }
 
-// exceedsCloudCapacity reports whether j waits and the cloud didn't provide enough machines for it.
+// exceedsCloudCapacity reports whether j isn't final and the cloud didn't provide enough
+// machines for it.
 func (s *State) exceedsCloudCapacity(j *job) bool { return !j.isFinal() && j.gang.rentPauses > 0 }
 
-// spareCapacityTimeout returns how long spare capacity is kept after the last gang.
-// After that, idle machines are returned.
+// spareCapacityTimeout returns how long spare capacity is kept after a gang was last
+// active. After that, idle machines are returned.
 func (s *State) spareCapacityTimeout() time.Duration { return 2 * s.shortestBootTime() }
 
 // gangTasksThatFit returns how many tasks of the spare gang g fit on m now.
@@ -191,7 +193,7 @@
 	return n
 }
 
-// spareGangCapacity returns the spare gang, the zone in which most of its tasks fit
+// spareGangCapacity returns the spare gang, the zone in which most tasks of its size fit
 // now, and how many fit there.
 func (s *State) spareGangCapacity() (*job, string, int) {
 	gang := s.spareGang()
--- a/internal/core/guarantee.go
+++ b/internal/core/guarantee.go
@@ -2,10 +2,12 @@
 
 import "mulleinfall/internal/sched"
 
-// guaranteeTolerance absorbs rounding errors from adding and subtracting amounts many times.
+// guaranteeTolerance absorbs rounding errors from adding and subtracting amounts many
+// times.
 const guaranteeTolerance = 1e-6
 
-// usageWithoutStopping returns what the tasks of each team take, without those being stopped.
+// usageWithoutStopping returns what the tasks of each team take of its guarantee and
+// limit, without the tasks that are being stopped.
 func (s *State) usageWithoutStopping() map[string]sched.Resources {
 	usage := map[string]sched.Resources{}
 	for _, m := range s.machinesByName {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -10,8 +10,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// jobValue is a job in the state service. When a job becomes final, its spec is
-// removed: only the outcome is kept for ever.
+// jobValue is a job in the state service. When a job becomes final (done or cancelled),
+// its spec is removed: only the outcome is kept for ever.
 type jobValue struct {
 	Spec        *model.Job `json:"spec,omitempty"`
 	SubmittedAt int64      `json:"at,omitempty"` // wall clock, ms
@@ -23,7 +23,7 @@
 type job struct {
 	model.Job
 	phase       string // "" until the job is done or cancelled
-	arrival     uint64 // revision at which it was accepted; gives the order of the queue
+	arrival     uint64 // revision at which it was accepted; jobs are queued in this order
 	submittedAt int64  // wall clock, ms
 	rank        int
 
@@ -36,10 +36,10 @@
 	reportedRunning int // running tasks as last received from the leader, for display
 
 	// The fields below are kept by the leader, for the current term.
-	tasks             map[int]*task  // bound to a machine, where they run or may still run
-	tasksByZone       map[string]int // number of tasks in each zone
+	tasks             map[int]*task  // tasks bound to a machine, by index
+	tasksByZone       map[string]int // number of bound tasks in each zone
 	nextIndex         int            // tasks from this index on haven't been started in this term
-	retryIndexes      []int          // tasks that have to be started again
+	retryIndexes      []int          // tasks that were requeued
 	queueEntry        *sched.Job
 	runTimes          []time.Duration // of tasks that this leader saw start and finish, sorted
 	lastTaskLostAt    time.Duration   // when a task was last requeued
@@ -85,8 +85,8 @@
 	return max(0, j.Tasks-j.doneCount-len(j.tasks))
 }
 
-// takeWaitingTask returns the index of the next task that needs a machine, and
-// removes it from the tasks to start.
+// takeWaitingTask removes the next task that needs a machine from the waiting tasks and
+// returns its index.
 func (j *job) takeWaitingTask() (int, bool) {
 	for len(j.retryIndexes) > 0 {
 		i := j.retryIndexes[0]
@@ -108,7 +108,7 @@
 // applyJobKey applies a change of a job's key in the state service.
 func (s *State) applyJobKey(id string, item Item) {
 	if item.Removed {
-		return // controllers never remove the key of a job
+		return // controllers never remove the key of a job, since its outcome is kept for ever
 	}
 	var value jobValue
 	if err := json.Unmarshal(item.Value, &value); err != nil {
@@ -195,8 +195,9 @@
 	j.chunk(index / chunkTasks).dirty = true
 }
 
-// finishJob writes phase "done" to the state service. If the job is cancelled at the
-// same time, the precondition on the key decides which of the two holds.
+// finishJob writes phase "done" to the state service and removes as many of the job's
+// bitmaps as fit the same transaction. If the job is cancelled at the same time, the
+// precondition on the key decides which of the two holds.
 func (s *State) finishJob(j *job) {
 	if j.writingDone || !s.IsLeader() {
 		return
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -7,10 +7,10 @@
 	"mulleinfall/internal/sched"
 )
 
-// Preemption: work is stopped, or machines are reserved, for more urgent work.
+// Preemption: running tasks are stopped and their machines reserved for tasks that wait.
 
 // preemptForQueue makes capacity for jobs that still wait: for prod work and gangs by
-// stopping work of lower priority, and for teams within their guarantee by stopping
+// stopping work of lower priority, and for teams within their guarantee also by stopping
 // work with which other teams exceed theirs.
 func (s *State) preemptForQueue(queue []*job, env *roundEnv) {
 	var usage map[string]sched.Resources
@@ -64,8 +64,8 @@
 // preemptForHits makes capacity for prod work on machines that hold its image if
 // fetching the image would take longer than the start goal of its class allows. The
 // dispatch rule compares the wait for a machine that holds the image with a fetch
-// elsewhere, but preemption makes that wait short. preemptForHits returns how many tasks
-// of each job the dispatch rule must leave for that capacity.
+// elsewhere, but doesn't know that preemption makes that wait short. The result is how
+// many tasks of each job the dispatch rule must leave for the capacity made here.
 func (s *State) preemptForHits(queue []*job, env *roundEnv) map[*job]int {
 	heldBack := map[*job]int{}
 	var usage map[string]sched.Resources
@@ -74,7 +74,7 @@
 			continue
 		}
 		if env.BudgetExhausted() {
-			break // leave time for the dispatch rule
+			break // the dispatch rule has to run as well
 		}
 		hits, pending := 0, 0
 		holdsImage := func(m *machine) bool { return m.view.Images.Has(j.Image) }
@@ -104,7 +104,7 @@
 }
 
 // isFetchTooLong reports whether j can still reach the start goal of its class, but not
-// if it has to fetch its image. For a task that was lost the goal counts from then on.
+// if it has to fetch its image. When a task is requeued, the goal counts again from then.
 func (s *State) isFetchTooLong(j *job) bool {
 	goal := s.cfg.Goals[j.Class].StartWithin
 	remaining := goal - s.jobAge(j)
@@ -117,8 +117,9 @@
 	return s.maxFetchTime(j) > remaining
 }
 
-// maxFetchTime returns how long a fetch of j's image may take at most if nothing else is
-// fetched: a fetch may take half as long again as the rate says.
+// maxFetchTime returns how long a fetch of j's image may take on the machine type with
+// the highest fetch rate that j can use, if nothing else is fetched there. A fetch may
+// take half as long again as the rate says.
 func (s *State) maxFetchTime(j *job) time.Duration {
 	rate := 0.0
 	for i := range s.typeList {
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -32,11 +32,11 @@
 	return option
 }
 
-// preemptionsPerReport is how often capacity for a gang is searched for at most in a
-// worker's report interval: between reports little changes.
+// preemptionsPerReport limits how often victims for a gang are searched for in a worker's
+// report interval: little changes between reports.
 const preemptionsPerReport = 6
 
-// gangEviction is an eviction with which all waiting tasks of a gang fit.
+// gangEviction is an eviction after which all waiting tasks of a gang fit.
 type gangEviction struct {
 	eviction
 	options  []evictionOption
@@ -45,14 +45,14 @@
 
 // preemptForGang stops other work so that all waiting tasks of a gang fit at once. The
 // machines and their victims are chosen together: nothing is stopped if the whole gang
-// still wouldn't fit. All machines are reserved until the gang takes them, including
-// those with enough free capacity.
+// still wouldn't fit. All chosen machines are reserved for the gang, including those with
+// enough free capacity.
 func (s *State) preemptForGang(j *job, env *roundEnv, usage map[string]sched.Resources) {
 	n := j.queueEntry.Waiting
 	if s.now < j.gang.nextPreemptionAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
-	// Searching the fleet for each gang in each round would take too much of the rounds' time.
+	// A search of the fleet for each gang in each round would use up the rounds' time.
 	j.gang.nextPreemptionAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
 	var best *gangEviction
 	for _, zone := range candidateZones(j, env.views) {
@@ -86,8 +86,8 @@
 	return sortedKeys(zones)
 }
 
-// evictInZone chooses victims so that n tasks of j fit in a zone, with as little lost
-// work as possible. The zone "" stands for all zones. It returns nil if they can't fit.
+// evictInZone chooses victims so that n tasks of j fit in a zone, those with the least
+// lost work first. The zone "" stands for all zones. It returns nil if the tasks can't fit.
 func (s *State) evictInZone(j *job, n int, zone string, env *roundEnv, usage map[string]sched.Resources) *gangEviction {
 	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(usage), gangWithinGuarantee: s.isWithinGuarantee(j, n, usage)}}
 	machines := s.eligibleMachines(j, n, zone, env)
@@ -104,7 +104,7 @@
 		if j.Spread && j.tasksByZone[option.machine.zone]+addedInZone[option.machine.zone] >= j.MaxTasksPerZone() {
 			continue
 		}
-		// Options chosen since may have changed the lost work of this one, or its
+		// Options chosen since this one was added may have changed its lost work, or its
 		// victims may no longer be stopped.
 		current, ok := e.cheapestOption(option.machine)
 		if !ok {
--- a/internal/core/spare_capacity.go
+++ b/internal/core/spare_capacity.go
@@ -4,22 +4,22 @@
 	"mulleinfall/internal/model"
 )
 
-// Capacity that is kept free for services and gangs that may arrive.
+// Spare capacity: idle machines are kept for services and gangs that may arrive.
 
 // spareCapacity decides which idle machines may be returned, so that enough capacity
 // stays free for services and gangs.
 type spareCapacity struct {
 	s            *State
-	returnsLeft  int // idle machines that may still be returned in this pass
-	service      *job
-	serviceTasks int // tasks of the service that fit on the free capacity
-	gang         *job
+	returnsLeft  int  // idle machines that may still be returned in this pass
+	service      *job // the largest active prod service; nil: none
+	serviceTasks int  // tasks of the service that fit on the free capacity
+	gang         *job // see spareGang
 	gangZone     string
-	gangTasks    int // tasks of the gang that fit in gangZone
+	gangTasks    int // tasks of the gang that fit on the free capacity in gangZone
 }
 
-// idleReturnDivisor limits the return of idle machines to one machine plus one in
-// idleReturnDivisor of all machines at a time.
+// idleReturnDivisor limits the return of idle machines: at a time, one machine plus a
+// share of 1/idleReturnDivisor of all machines may be returned.
 const idleReturnDivisor = 16
 
 // newSpareCapacity determines what capacity is free for services and gangs now.
@@ -32,8 +32,8 @@
 	return r
 }
 
-// allowReturn reports whether idle machine m may be returned. If so, its capacity counts
-// as gone from then on.
+// allowReturn reports whether the idle machine m may be returned. If so, it subtracts m's
+// capacity from the spare capacity.
 func (r *spareCapacity) allowReturn(m *machine) bool {
 	serviceTasks, gangTasks := r.s.serviceTasksThatFit(m, r.service), 0
 	if r.gang != nil && m.zone == r.gangZone {
@@ -61,8 +61,8 @@
 	return best
 }
 
-// serviceTasksThatFit returns how many tasks of the service j fit on m now, up to the
-// number for which capacity is kept free. Spot machines don't count.
+// serviceTasksThatFit returns how many tasks of the service j fit on m now, up to
+// SpareServices. Spot machines don't count.
 func (s *State) serviceTasksThatFit(m *machine, j *job) int {
 	if j == nil || m.spot || !s.isUsable(m) {
 		return 0
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -4,9 +4,9 @@
 
 // Submissions: which jobs are accepted, refused for now, or refused for good.
 
-// submit handles a submission. A job is refused for good only when it is certain that
-// no job with its id was accepted before. Neither a lowered limit nor a replica that
-// lags behind may cause a 400 or 422 for an accepted job.
+// submit handles a submission. A job is refused for good (400 or 422) only when it is
+// certain that no job with its id was accepted before: an accepted job must not be
+// refused because a limit was lowered or this replica lags behind.
 func (s *State) submit(from requester, spec model.Job, wallMs int64) {
 	if len(s.types) == 0 {
 		s.replyRetryLater(from, "machine types are not known yet")
@@ -17,7 +17,7 @@
 		return
 	}
 	if spec.Kind == model.KindGang && s.cfg.GangWaitTimeout > 0 && s.clusterVersion < versionGangs {
-		// A controller of the former version, which can't run gangs, may still become leader.
+		// A controller of the previous version, which can't run gangs, may still become leader.
 		s.replyRetryLater(from, "not all controllers know gangs yet")
 		return
 	}
@@ -67,7 +67,7 @@
 				s.notifyPeers(key, value)
 				s.replyToUser(from, 201, JobStatus{ID: id, Phase: model.PhaseQueued}, 0)
 			case result == conflict && j != nil:
-				s.replyWithStatus(from, j) // already accepted, from another controller or an earlier try
+				s.replyWithStatus(from, j) // accepted before, by another controller or in an earlier try
 			case result == conflict:
 				s.replyRetryLater(from, "try again")
 			case !forward():
@@ -77,8 +77,9 @@
 	})
 }
 
-// ifNotAccepted calls f if no job with this id was accepted, and replies with the job's
-// status otherwise. If this controller can't find out, forward sends the request to a peer.
+// ifNotAccepted calls onNotAccepted if no job with this id was accepted, and replies with
+// the job's status otherwise. If this controller can't find out, it calls forward to send
+// the request to a peer.
 func (s *State) ifNotAccepted(from requester, id string, f func(), forward func() bool) {
 	if len(s.pendingReads) >= s.cfg.MaxRequests {
 		s.replyRetryLater(from, "too many requests under way")
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -8,7 +8,7 @@
 )
 
 // Tasks: a task is bound to a machine before it is started, and unbound once it
-// certainly doesn't run there any more.
+// certainly no longer runs there.
 
 // task is a task that is bound to a machine: it runs there, or it may. It is unbound
 // only when the machine reports that the attempt has ended or never started, when the
@@ -24,15 +24,15 @@
 	zone    string // zone of the machine when the task was bound
 
 	startSent             bool   // a start order has been sent
-	startSentSeq          uint64 // number of the report in whose answer it was last sent
+	startSentSeq          uint64 // number of the report in whose answer it was last sent; 0: in none
 	unconfirmedStartEpoch uint64 // epoch of a start by direct command whose outcome is unknown
 
 	state           string        // as last reported
 	runningSince    time.Duration // when it was first reported running
 	inherited       bool          // started before this leader saw it
 	stopping        bool          // it is to be stopped
-	graceS          float64       // time that it has for a checkpoint
-	stopRequestedAt time.Duration // when the stop was decided; 0 once a direct command has carried it
+	graceS          float64       // seconds that it has for a checkpoint when it is stopped
+	stopRequestedAt time.Duration // when the stop was decided; 0 once it was sent by direct command
 }
 
 // bind adds a task to the tables of its job, machine and team.
@@ -76,8 +76,8 @@
 	}
 }
 
-// dropUnusedFetch removes a fetch from the machine's view when no task waits for the
-// image any more: the worker then aborts the fetch too.
+// dropUnusedFetch removes the fetch of t's image from the view of its machine if no task
+// there waits for the image any more: the worker then aborts the fetch too.
 func (s *State) dropUnusedFetch(t *task) {
 	v := &t.machine.view
 	for _, other := range t.machine.tasks {
@@ -94,9 +94,9 @@
 	v.Fetching = kept
 }
 
-// stopTask requests a stop of a task; grace 0 means at once. A gang is stopped as a
-// whole: if its tasks were stopped one after another, they could not save a checkpoint
-// together.
+// stopTask requests a stop of a task within graceS seconds; 0 means at once. A gang is
+// stopped as a whole: if its tasks were stopped one after another, they could not save a
+// checkpoint together.
 func (s *State) stopTask(t *task, graceS float64) {
 	s.markStopping(t, graceS)
 	if t.job.Kind == model.KindGang && !t.job.isFinal() {
@@ -120,8 +120,8 @@
 		}
 		for _, t := range m.tasks {
 			if !t.stopping && s.runsBeyond(t, m.reclaimAt) {
-				// Its work is lost in any case. It is restarted now rather than when the
-				// machine goes.
+				// Its work is lost in any case, so it is restarted now rather than when
+				// the machine goes.
 				s.stopTask(t, 0)
 				continue
 			}
@@ -133,7 +133,9 @@
 	}
 }
 
-// runsBeyond reports whether t, which saves no checkpoints, will certainly run beyond at.
+// runsBeyond reports whether t saves no checkpoints and will run beyond at, even if it
+// takes only three quarters of the expected time. A task that the worker has reported
+// but that isn't running yet counts as running beyond at.
 func (s *State) runsBeyond(t *task, at time.Duration) bool {
 	if t.job.Kind != model.KindBatch || t.job.CheckpointEveryS > 0 {
 		return false
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -10,18 +10,18 @@
 type userRequests struct {
 	forwarded  map[uint64]*forwardedRequest
 	forwardSeq uint64
-	isolated   bool // lost the state service and all peers, and hasn't been back long enough
+	isolated   bool // see updateIsolation
 }
 
-// init starts the numbers of forwarded requests in a range of this incarnation's own.
-// Otherwise a late reply to a previous incarnation could be taken for the reply to
-// another user's request.
+// init makes the numbers of forwarded requests start in a range that only this
+// incarnation uses. Otherwise a late reply to a previous incarnation could be taken for
+// the reply to another user's request.
 func (u *userRequests) init(incarnation uint64) {
 	u.forwarded, u.forwardSeq = map[uint64]*forwardedRequest{}, incarnation<<20
 }
 
-// userRequestTimeout limits how long a user's change is tried. Users give up after 5 s,
-// and they retry sooner if they are refused sooner.
+// userRequestTimeout limits how long a user's change may wait to be written. Users give up
+// after 5 s, and they retry sooner if they are refused sooner.
 const userRequestTimeout = 2 * time.Second
 
 // isWriteQueueFull reports whether so many users' changes are queued that another one
@@ -54,9 +54,9 @@
 
 // answerHealthCheck answers a health check of this controller.
 func (s *State) answerHealthCheck(req uint64) {
-	// A controller reports not ready only while it can serve nothing, neither itself nor
+	// A controller is "not ready" only while it can serve nothing, neither itself nor
 	// through a peer. A status that changes often is penalized, so a slow state service
-	// is no reason, and neither is an outage that affects all controllers.
+	// is no reason for it, and neither is an outage that affects all controllers.
 	if s.loaded && !s.updateIsolation() {
 		s.emit(Reply{RequestID: req, Status: 200, Body: map[string]string{"status": "up"}})
 		return
@@ -64,9 +64,10 @@
 	s.emit(Reply{RequestID: req, Status: 503, Body: Problem{"state not loaded yet"}, RetryAfter: 1})
 }
 
-// updateIsolation reports whether this controller can reach neither the state service
-// nor the other controllers, so that users are better served elsewhere. After that, it
-// counts as isolated until it has reached the state service for a while.
+// updateIsolation updates and returns whether this controller is isolated. It becomes
+// isolated when it has reached neither the state service nor another controller for a
+// while, so that users are better served elsewhere. It remains isolated until it has
+// reached the state service for a while again.
 func (s *State) updateIsolation() bool {
 	timeout := s.storeContactTimeout()
 	if s.sinceStoreContact() <= timeout {
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -12,8 +12,8 @@
 // The dispatch rule's view of machines and jobs.
 
 // isUsable reports whether m may be given new tasks. It may not while the state service
-// may still record m as unresponsive: a successor wouldn't know of the lease of a
-// session that has started since then.
+// may still record m as unresponsive: if the worker has started a new session since then,
+// a successor wouldn't know of the lease of that session.
 func (s *State) isUsable(m *machine) bool {
 	return m.reconciled && m.registered && m.storedUnresponsiveSince == 0 && !m.leaseExpired && !m.slow && !m.returning && !m.reachability.unreachable && m.reclaimAt == 0 && m.machineType != nil &&
 		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.maxReportGap()
@@ -23,8 +23,8 @@
 // unresponsive.
 func (s *State) maxReportGap() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
 
-// refreshView updates the free resources, running tasks and fetches in m's view if
-// anything has changed since the last update.
+// refreshView updates the free resources, running tasks and fetches in m's view if the
+// view is stale.
 func (s *State) refreshView(m *machine) {
 	if !m.viewStale {
 		return
@@ -71,7 +71,7 @@
 
 // orphanedTaskJob returns the job of a task that is on a machine but shouldn't be. It
 // returns nil if the job's spec isn't known: a final job is stored without it, so a
-// leader that started later never read it.
+// controller that started later never read it.
 func (s *State) orphanedTaskJob(task string) *job {
 	id, _, _ := model.ParseTaskName(task)
 	if j := s.jobs[id]; j != nil && j.Team != "" {
@@ -107,8 +107,10 @@
 	return e.s.allowed(entry.Ref.(*job), v.Ref.(*machine))
 }
 
-// allowed reports whether a task of j may be on m now by reservation, type, zone, kind
-// and the job's other tasks. A task that may still be on a machine counts as being there.
+// allowed reports whether a task of j may be placed on m now. It checks m's reservation,
+// type and zone, whether j may use spot machines, and the zones and hosts of j's other
+// tasks, but not free capacity. A task that may still be on a machine counts as being
+// there.
 func (s *State) allowed(j *job, m *machine) bool {
 	if m.reservedFor != nil && m.reservedFor != j && s.now < m.reservedUntil && (!m.draining || j.rank != model.PriorityRank(model.PriorityProd)) {
 		return false
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,11 +1,12 @@
 // Package sched decides which waiting task goes to which machine
 // (docs/design.md). Jobs wait in one global queue in order of arrival, and each
 // machine has a local queue. A task preferably goes to a free machine that
-// already holds its image (a hit), even ahead of earlier tasks, until one of
-// those has been skipped as often as the skip limit allows. If no free machine
-// holds the image, the task waits for a machine that does, or has the image
-// fetched to a free one, whichever is sooner. The package does no I/O and reads
-// no clock: callers pass the current time.
+// already holds its image (a hit), even ahead of earlier tasks. A job that has
+// been skipped as often as the skip limit allows takes any free machine, or has
+// one reserved. If no free machine holds the image, a task below the limit waits
+// for a machine that does, or has the image fetched to a free one, whichever is
+// sooner. The package does no I/O and reads no clock: callers pass the current
+// time.
 package sched
 
 import "time"
@@ -33,8 +34,8 @@
 
 // Config holds the operator's settings for dispatch.
 type Config struct {
-	// SkipLimit is how many later tasks may be placed ahead of a waiting job. After
-	// that the job's next task takes any free machine, or has a machine reserved.
+	// SkipLimit is how many later tasks may be placed ahead of a waiting job before
+	// its next task takes any free machine, or has a machine reserved.
 	SkipLimit int
 }
 
