--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -36,8 +36,8 @@
 // findStoreCall returns the first call of op to the state service among the effects.
 func findStoreCall(effects []Effect, op StoreOp) (StoreCall, bool) {
 	for _, e := range effects {
-		if c, ok := e.(StoreCall); ok && c.Op == op {
-			return c, true
+		if call, ok := e.(StoreCall); ok && call.Op == op {
+			return call, true
 		}
 	}
 	return StoreCall{}, false
@@ -47,11 +47,11 @@
 // existed, and against a late reply of an old watch that restores a removed key.
 func TestRemovedKeysAreDropped(t *testing.T) {
 	s := newSingleController()
-	c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
-	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 4, Items: []Item{{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3}}})
-	w, _ := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
+	listCall, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
+	s.Step(time.Millisecond, StoreResult{CallID: listCall.CallID, Status: 200, Revision: 4, Items: []Item{{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3}}})
+	watchCall, _ := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
 	gone := Item{Key: prefixMachines + "n-1", ModRevision: 5, Removed: true}
-	s.Step(time.Second+time.Millisecond, StoreResult{CallID: w.CallID, Status: 200, Revision: 5, Items: []Item{gone}})
+	s.Step(time.Second+time.Millisecond, StoreResult{CallID: watchCall.CallID, Status: 200, Revision: 5, Items: []Item{gone}})
 	s.apply(Item{Key: prefixMachines + "n-1", Value: []byte(`{}`), ModRevision: 3})
 	if s.modRevision(prefixMachines+"n-1") != 0 || s.machines["n-1"] != nil {
 		t.Error("removed key: got it restored by an older value, want it to stay removed")
@@ -67,14 +67,14 @@
 // first election, and no later election could be won.
 func TestFirstRevisionIsWatched(t *testing.T) {
 	s := newSingleController()
-	c, ok := findStoreCall(s.Step(0, Tick{}), StoreList)
+	listCall, ok := findStoreCall(s.Step(0, Tick{}), StoreList)
 	if !ok {
 		t.Fatal("state service at the start: got no list call, want one")
 	}
-	s.Step(time.Millisecond, StoreResult{CallID: c.CallID, Status: 200, Revision: 0})
-	w, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
-	if !ok || w.AfterRevision != 0 {
-		t.Errorf("got a watch after revision %d (found: %v), want one after revision 0", w.AfterRevision, ok)
+	s.Step(time.Millisecond, StoreResult{CallID: listCall.CallID, Status: 200, Revision: 0})
+	watchCall, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreWatch)
+	if !ok || watchCall.AfterRevision != 0 {
+		t.Errorf("got a watch after revision %d (found: %v), want one after revision 0", watchCall.AfterRevision, ok)
 	}
 }
 
@@ -90,7 +90,7 @@
 	const n = 4000
 	bytesPerEntry := func(item func(i int) Item) float64 {
 		s := newSingleController()
-		c, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
+		listCall, _ := findStoreCall(s.Step(0, Tick{}), StoreList)
 		before := heapBytes()
 		for i := range n {
 			s.apply(item(i))
@@ -98,7 +98,7 @@
 		s.effects = nil
 		perEntry := (heapBytes() - before) / n
 		runtime.KeepAlive(s)
-		runtime.KeepAlive(c)
+		runtime.KeepAlive(listCall)
 		return perEntry
 	}
 	machine := bytesPerEntry(func(i int) Item {
@@ -247,9 +247,9 @@
 		s.queueWrite(&write{change: Change{Key: prefixPages + string(rune('a'+i)), Value: mustMarshal(i)}, class: classBitmap, deadline: time.Hour, done: func(outcome) {}})
 	}
 	s.queueWrite(&write{change: Change{Key: prefixJobs + "req-000001", Value: mustMarshal(1)}, deadline: time.Hour, done: func(outcome) {}})
-	c, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreTxn)
-	if !ok || c.Changes[0].Key != prefixJobs+"req-000001" {
-		t.Errorf("got a first transaction (found: %v) with changes %+v, want the user's change first", ok, c.Changes)
+	txnCall, ok := findStoreCall(s.Step(time.Second, Tick{}), StoreTxn)
+	if !ok || txnCall.Changes[0].Key != prefixJobs+"req-000001" {
+		t.Errorf("got a first transaction (found: %v) with changes %+v, want the user's change first", ok, txnCall.Changes)
 	}
 }
 
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -80,7 +80,7 @@
 // ifNotAccepted calls onNotAccepted if no job with this id was accepted, and replies with
 // the job's status otherwise. If this controller can't find out, it calls forward to send
 // the request to a peer.
-func (s *State) ifNotAccepted(from requester, id string, f func(), forward func() bool) {
+func (s *State) ifNotAccepted(from requester, id string, onNotAccepted func(), forward func() bool) {
 	if len(s.pendingReads) >= s.cfg.MaxRequests {
 		s.replyRetryLater(from, "too many requests under way")
 		return
@@ -93,7 +93,7 @@
 		case j != nil:
 			s.replyWithStatus(from, j)
 		default:
-			f()
+			onNotAccepted()
 		}
 	})
 }
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -121,11 +121,11 @@
 	if j.Kind == model.KindGang && j.gang.excludedHosts[m.host] {
 		return false
 	}
-	here := j.tasksByZone[m.zone]
-	if j.OneZone && here < len(j.tasks) {
+	tasksInZone := j.tasksByZone[m.zone]
+	if j.OneZone && tasksInZone < len(j.tasks) {
 		return false
 	}
-	return !j.Spread || here < j.MaxTasksPerZone()
+	return !j.Spread || tasksInZone < j.MaxTasksPerZone()
 }
 
 // WithinLimit implements sched.Env.
