--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -165,8 +165,8 @@
 		}
 		j.queueEntry.Waiting = n
 		j.queueEntry.RestartMissesGoal = s.restartMissesGoal(j)
-		// Machines rented for the gang would be up by this age. Machines kept free for
-		// it from the start made other gangs miss their start goals.
+		// Machines rented for the gang would be up by this age. When machines were
+		// reserved for it from the start, other gangs missed their start goals.
 		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBootTime()
 		j.queueEntry.Rank = queueRank(j)
 		if s.isStarved(j) {
@@ -206,8 +206,8 @@
 	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
 
-// queueRank returns j's rank in the queue. Jobs of a lower rank go ahead of earlier
-// jobs, and jobs of the same rank are served by arrival.
+// queueRank returns j's rank in the queue. A job with a smaller rank goes ahead of
+// earlier jobs, and jobs of the same rank are served by arrival.
 func queueRank(j *job) int {
 	return j.rank
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -9,9 +9,9 @@
 
 // Preemption: running tasks are stopped and their machines reserved for tasks that wait.
 
-// preemptForQueue makes capacity for jobs that still wait: for prod work and gangs by
-// stopping work of lower priority, and for teams within their guarantee also by stopping
-// work with which other teams exceed theirs.
+// preemptForQueue makes capacity for jobs that still wait. Prod work, gangs and teams
+// within their guarantee may stop work of lower priority, and teams within their
+// guarantee also the work with which other teams exceed theirs.
 func (s *State) preemptForQueue(queue []*job, env *roundEnv) {
 	var usage map[string]sched.Resources
 	for _, j := range queue {
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -80,8 +80,8 @@
 	return true
 }
 
-// machinesWithCapacity lists the machines whose free capacity is at least the least
-// CPUs, the least GPUs and the least memory that a task of any waiting job needs.
+// machinesWithCapacity lists the machines that have free capacity for the smallest need
+// of CPUs, of GPUs and of memory among the tasks of all waiting jobs.
 func machinesWithCapacity(jobs []*Job, machines []*Machine) []*Machine {
 	leastNeed := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	for _, j := range jobs {
