--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -16,10 +16,10 @@
 	return j
 }
 
-// gangs submits gangs of one to six tasks beside arrays and services; some must
+// submitGangs submits gangs of one to six tasks beside arrays and services; some must
 // be in one zone, some may use spot machines, some belong to a team with a limit,
 // some stop other work by their priority or their team's guarantee.
-func gangs(w *Simulation, until time.Duration) {
+func submitGangs(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+5*second {
 		j := gangOf(fmt.Sprintf("req-%06d", 300000+i), 1+(i*5)%6)
 		j.OneZone, j.Spot = i%2 == 0, i%3 == 0
@@ -39,15 +39,15 @@
 	}
 }
 
-// TestGangDays plays gangs through the troubles of the other days, beside the
+// TestGangScenarios plays gangs through the troubles of the other days, beside the
 // ordinary load, and checks the rules and that all of them are done.
-func TestGangDays(t *testing.T) {
+func TestGangScenarios(t *testing.T) {
 	type day struct {
 		name   string
 		faults func(w *Simulation)
 	}
 	list := []day{{"quiet", func(w *Simulation) {}}}
-	for _, d := range days {
+	for _, d := range faultScenarios {
 		switch d.name {
 		case "leader crashes again and again", "leader refused by the state service alone", "machines hang, go on later, and commands come late",
 			"machines taken without notice", "requests carried out come again", "workers begin anew, with late copies of their former lives",
@@ -55,7 +55,7 @@
 			list = append(list, day(d))
 		}
 	}
-	for _, m := range meetings {
+	for _, m := range combinedFaultScenarios {
 		switch m.name {
 		case "commands and their answers are held up for seconds, and the machine goes on", "old reports reach every controller as a new leader begins",
 			"answers of the state service are lost, at once or carried out late", "jobs are cancelled as the work changes hands",
@@ -78,12 +78,12 @@
 	for _, d := range list {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= uint64(max(1, *seeds/2)); seed++ {
+			for seed := uint64(1); seed <= uint64(max(1, *seedCount/2)); seed++ {
 				opt := DefaultOptions(seed)
 				opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 				opt.Config.Teams["own"] = core.Team{Guaranteed: sched.Resources{CPUs: 12}}
 				w := New(opt)
-				gangs(w, 130*second)
+				submitGangs(w, 130*second)
 				load(w, 120*second)
 				watchLeaders(w)
 				d.faults(w)
@@ -113,10 +113,10 @@
 	}
 }
 
-// TestGangGetsItsRoom: arrays come all the time and take each bit of room that
+// TestLargeGangStartsUnderArrayLoad: arrays come all the time and take each bit of room that
 // ends; a gang that needs most of the machines begins all the same, by machines
 // that are kept free for it, and the arrays go on.
-func TestGangGetsItsRoom(t *testing.T) {
+func TestLargeGangStartsUnderArrayLoad(t *testing.T) {
 	opt := DefaultOptions(3)
 	opt.Capacity = 6
 	w := New(opt)
@@ -132,14 +132,14 @@
 	g.OneZone = true
 	w.At(60*second, func() { w.Users.Submit(g, 10*second) })
 	w.RunUntil(60 * second)
-	if n := w.running(); n < 60 {
+	if n := w.runningTaskCount(); n < 60 {
 		t.Fatalf("%d tasks run on 72 CPUs: there is no crowd", n)
 	}
 	w.RunUntil(120 * second)
 	if x := w.Checker.jobs[g.ID]; x.firstStartedAt == 0 || x.firstStartedAt > 105*second {
 		t.Errorf("the gang, submitted at 60 s, began at %v", x.firstStartedAt)
 	}
-	if n := w.running(); n < 50 {
+	if n := w.runningTaskCount(); n < 50 {
 		t.Errorf("%d array tasks run on 72 CPUs", n)
 	}
 	for _, b := range w.Checker.Violations {
@@ -147,8 +147,8 @@
 	}
 }
 
-// running is how many tasks are on machines.
-func (w *Simulation) running() int {
+// runningTaskCount is how many tasks are on machines.
+func (w *Simulation) runningTaskCount() int {
 	n := 0
 	for _, t := range w.Checker.jobs {
 		n += len(t.runningOn)
@@ -156,9 +156,9 @@
 	return n
 }
 
-// TestSpareRoomForGangs: while gangs come that should start sooner than a machine
+// TestSpareCapacityForGangs: while gangs come that should start sooner than a machine
 // boots, one finds its room free; when they stop coming the machines go back.
-func TestSpareRoomForGangs(t *testing.T) {
+func TestSpareCapacityForGangs(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	w := New(opt)
@@ -184,11 +184,11 @@
 	}
 }
 
-// TestGangBeyondTheCloud: a gang that is larger than what the cloud gives stays
+// TestGangLargerThanCloudCapacity: a gang that is larger than what the cloud gives stays
 // known and waits; it costs other work nothing that lasts: machines are rented
 // for it less and less often, none is kept free for it, and arrays begin as ever.
 // Once the cloud has enough it runs.
-func TestGangBeyondTheCloud(t *testing.T) {
+func TestGangLargerThanCloudCapacity(t *testing.T) {
 	opt := DefaultOptions(3)
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	w := New(opt)
--- a/internal/sim/gap_test.go
+++ b/internal/sim/gap_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// gaps are the ways in which a confirmed cancellation can miss the leader: the
+// cancelVisibilityFaults are the ways in which a confirmed cancellation can miss the leader: the
 // state service refuses it alone, others confirm, and then it is out for all.
 // Each adds its own trouble at the moment of the confirmations.
-var gaps = []struct {
+var cancelVisibilityFaults = []struct {
 	name string
 	// more is called as the state service begins to refuse the leader, with the
 	// two others.
@@ -33,8 +33,10 @@
 		w.Cut(b.Name, a.Name, "drop")
 		w.After(12*second, func() { delete(w.Store.UnavailableTo, b.Name) })
 	}},
-	{"only one confirms, ends, and is back at once", func(w *Simulation, leader, a, b *Controller) { onlyOneConfirms(w, leader, a, b, 300*time.Millisecond) }},
-	{"only one confirms, ends, and is back later", func(w *Simulation, leader, a, b *Controller) { onlyOneConfirms(w, leader, a, b, 8*second) }},
+	{"only one confirms, ends, and is back at once", func(w *Simulation, leader, a, b *Controller) {
+		isolateAndCrashConfirmer(w, leader, a, b, 300*time.Millisecond)
+	}},
+	{"only one confirms, ends, and is back later", func(w *Simulation, leader, a, b *Controller) { isolateAndCrashConfirmer(w, leader, a, b, 8*second) }},
 	{"the leader ends", func(w *Simulation, leader, a, b *Controller) {
 		w.After(2500*time.Millisecond, func() { leader.CrashFor(300 * time.Millisecond) })
 	}},
@@ -87,8 +89,8 @@
 	}},
 }
 
-// onlyOneConfirms has a confirm what neither of the others hears of, and end.
-func onlyOneConfirms(w *Simulation, leader, a, b *Controller, back time.Duration) {
+// isolateAndCrashConfirmer has a confirm what neither of the others hears of, and end.
+func isolateAndCrashConfirmer(w *Simulation, leader, a, b *Controller, back time.Duration) {
 	w.Store.UnavailableTo[b.Name] = true
 	w.Cut(leader.Name, a.Name, "drop")
 	w.Cut(b.Name, a.Name, "drop")
@@ -100,12 +102,12 @@
 	w.After(12*second, func() { delete(w.Store.UnavailableTo, b.Name) })
 }
 
-// TestGap: the tasks of a job are gone within cancel_s of the confirmation, or
+// TestCancellationVisibilityGap: the tasks of a job are gone within cancel_s of the confirmation, or
 // nobody goes on acting, however long the state service is out afterwards. The
 // leader acted on the promise of the third controller for as long as the outage
 // lasted, while what the second had confirmed never reached it.
-func TestGap(t *testing.T) {
-	for _, gap := range gaps {
+func TestCancellationVisibilityGap(t *testing.T) {
+	for _, gap := range cancelVisibilityFaults {
 		t.Run(gap.name, func(t *testing.T) {
 			t.Parallel()
 			confirmed := 0
@@ -158,11 +160,11 @@
 	}
 }
 
-// TestOutageKeepsTasks: an outage of the state service, however long, ends no
+// TestStoreOutageKeepsTasks: an outage of the state service, however long, ends no
 // task while every controller stands by the leader, also one that ends and is
 // back while its read lease would still run. With one out of the leader's reach
 // for long, nobody may go on: it might have confirmed cancellations.
-func TestOutageKeepsTasks(t *testing.T) {
+func TestStoreOutageKeepsTasks(t *testing.T) {
 	cases := []struct {
 		name string
 		more func(w *Simulation, leader, other *Controller)
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -13,17 +13,17 @@
 // of what the controllers do to the outside.
 type grown struct {
 	*Simulation
-	machines                              int
-	puts, requests, directs, atOnce, open int
-	rounds                                map[time.Duration]int // by report interval
+	machines                                                                             int
+	changesWritten, storeRequests, directCommands, maxCommandsInFlight, commandsInFlight int
+	roundsByInterval                                                                     map[time.Duration]int // by report interval
 }
 
-// newGrown has 450 machines and the settings of Defaults.
-func newGrown(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
+// newDefaultFleet has 450 machines and the settings of Defaults.
+func newDefaultFleet(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
 
-// newFleet has three times zone machines and the settings of the largest
+// newLargestDeployment has three times zone machines and the settings of the largest
 // deployments.
-func newFleet(seed uint64, zone int) *grown { return growTo(largest(seed), zone) }
+func newLargestDeployment(seed uint64, zone int) *grown { return growTo(largest(seed), zone) }
 
 // largest are the settings of the largest deployments, less the time that workers
 // need for details.
@@ -38,24 +38,24 @@
 }
 
 func growTo(opt Options, zone int) *grown {
-	g := &grown{rounds: map[time.Duration]int{}, machines: zone * len(opt.Zones)}
+	g := &grown{roundsByInterval: map[time.Duration]int{}, machines: zone * len(opt.Zones)}
 	opt.Capacity = zone
 	opt.Config.Stopwatch = func() func() time.Duration {
 		if g.Simulation != nil {
-			g.rounds[g.Now/opt.Config.ReportInterval]++
+			g.roundsByInterval[g.Now/opt.Config.ReportInterval]++
 		}
 		return func() time.Duration { return 0 }
 	}
 	opt.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
 		switch e := e.(type) {
 		case core.StoreCall:
-			g.requests++
-			g.puts += len(e.Changes)
+			g.storeRequests++
+			g.changesWritten += len(e.Changes)
 		case core.AgentCall:
-			g.directs++
-			g.open++
-			g.atOnce = max(g.atOnce, g.open)
-			w.After(10*time.Millisecond, func() { g.open-- }) // the longest way there and back
+			g.directCommands++
+			g.commandsInFlight++
+			g.maxCommandsInFlight = max(g.maxCommandsInFlight, g.commandsInFlight)
+			w.After(10*time.Millisecond, func() { g.commandsInFlight-- }) // the longest way there and back
 		}
 		return e
 	}
@@ -67,8 +67,8 @@
 	return g
 }
 
-// load keeps some 400 tasks running in jobs of 40, and services of 8.
-func (g *grown) load(until time.Duration) {
+// submitLoad keeps some 400 tasks running in jobs of 40, and services of 8.
+func (g *grown) submitLoad(until time.Duration) {
 	for i, at := 0, second; at < until; i, at = i+1, at+2*second {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 40)
 		j.Class, j.Image = "batch", fmt.Sprintf("img-%d", i%6)
@@ -81,31 +81,31 @@
 	}
 }
 
-// TestGrownFleet counts, at the size of the largest deployments, what once grew
+// TestLargeFleet counts, at the size of the largest deployments, what once grew
 // with the fleet: writes of the roster, rounds of decisions, direct commands at
 // a time, and how long it takes until all machines are of use.
-func TestGrownFleet(t *testing.T) {
-	g := newGrown(1)
-	g.load(100 * second)
+func TestLargeFleet(t *testing.T) {
+	g := newDefaultFleet(1)
+	g.submitLoad(100 * second)
 	g.RunUntil(8 * second)
 	if n := len(g.Workers); n != 450 {
 		t.Fatalf("%d machines are up, want 450", n)
 	}
-	if on := g.running(); on < 100 {
+	if on := g.runningTaskCount(); on < 100 {
 		t.Errorf("%d tasks run 8 s after the start: the machines aren't of use yet", on)
 	}
 	// One write a machine would be 450, and more than half a minute's worth.
-	if g.puts > 120 {
-		t.Errorf("%d changes written to the state service in the first 8 s", g.puts)
+	if g.changesWritten > 120 {
+		t.Errorf("%d changes written to the state service in the first 8 s", g.changesWritten)
 	}
 	g.RunUntil(40 * second)
-	puts, requests := g.puts, g.requests
+	puts, requests := g.changesWritten, g.storeRequests
 	g.RunUntil(60 * second)
-	rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20
+	rps, wps := float64(g.storeRequests-requests)/20, float64(g.changesWritten-puts)/20
 	if rps > g.Options.Config.StoreRPS || wps > g.Options.Config.StoreWriteRPS {
 		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", rps, wps)
 	}
-	for at, n := range g.rounds {
+	for at, n := range g.roundsByInterval {
 		if n > 26 { // 24, and one at each end
 			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Options.Config.ReportInterval)
 		}
@@ -113,34 +113,34 @@
 
 	// The leader crashes: its successor must reach every machine well inside
 	// the lease, without asking all of them at the same moment.
-	before, killed := g.directs, len(g.Checker.Violations)
-	running := g.running()
-	g.atOnce = 0
+	before, killed := g.directCommands, len(g.Checker.Violations)
+	running := g.runningTaskCount()
+	g.maxCommandsInFlight = 0
 	g.Leader().Crash()
 	g.RunUntil(60*second + g.Options.Config.Lease + 2*second)
-	if g.atOnce > 100 {
-		t.Errorf("%d direct commands at the same time", g.atOnce)
+	if g.maxCommandsInFlight > 100 {
+		t.Errorf("%d direct commands at the same time", g.maxCommandsInFlight)
 	}
-	if n := g.directs - before; n > 3*450 {
+	if n := g.directCommands - before; n > 3*450 {
 		t.Errorf("%d direct commands after the takeover", n)
 	}
-	if now := g.running(); now < running/2 {
+	if now := g.runningTaskCount(); now < running/2 {
 		t.Errorf("%d tasks ran before the crash, %d a lease later", running, now)
 	}
 	if len(g.Checker.Violations) > killed {
 		t.Error(g.Checker.Violations)
 	}
-	if lost := g.lost(); lost > 0 {
+	if lost := g.lostLeaseCount(); lost > 0 {
 		t.Errorf("%d of 450 machines lost their lease in the takeover", lost)
 	}
 }
 
-// TestGrownZoneCut: a third of a large fleet is cut off. Nothing of it is
+// TestLargeFleetZoneCut: a third of a large fleet is cut off. Nothing of it is
 // returned, the rest goes on, and what the zone held runs elsewhere before the
 // cut is over.
-func TestGrownZoneCut(t *testing.T) {
-	g := newGrown(2)
-	g.load(60 * second)
+func TestLargeFleetZoneCut(t *testing.T) {
+	g := newDefaultFleet(2)
+	g.submitLoad(60 * second)
 	g.At(50*second, func() { cutZone(g.Simulation, "c", 40*second, "hold") })
 	g.RunUntil(85 * second)
 	gone := 0
@@ -163,13 +163,13 @@
 	}
 }
 
-// TestTakenMachinesHoldNobodyUp: a machine that the cloud has taken after notice
+// TestLostMachinesDoNotDelayTakeover: a machine that the cloud has taken after notice
 // is returned by name, so that it is surely gone; one that died with the leader
 // is given up after a command in vain. Either once kept every older job of a
 // large fleet waiting after an election.
-func TestTakenMachinesHoldNobodyUp(t *testing.T) {
-	g := newFleet(3, 150)
-	g.load(100 * second)
+func TestLostMachinesDoNotDelayTakeover(t *testing.T) {
+	g := newLargestDeployment(3, 150)
+	g.submitLoad(100 * second)
 	var returned, elected, settled time.Duration
 	g.onReturn(func(host string) {
 		if host == "n-000007" && returned == 0 {
@@ -194,16 +194,16 @@
 	}
 }
 
-// TestCutZoneHoldsNobodyElseUp: a zone is cut off as all controllers crash; the
+// TestCutZoneDoesNotDelayOtherMachines: a zone is cut off as all controllers crash; the
 // next leader answers the other zones and loses the state service, and a few of
 // their machines die just then. Its successor finds those few missing at once,
 // though it asks hundreds of the cut zone's machines in vain, and has all
 // machines accounted for when the cut zone's leases are over.
-func TestCutZoneHoldsNobodyElseUp(t *testing.T) {
+func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
 	g := growTo(opt, 150)
-	g.load(100 * second)
+	g.submitLoad(100 * second)
 	var elected, settled []time.Duration
 	returned := map[string]time.Duration{}
 	g.onReturn(func(host string) { returned[host] = g.Now })
@@ -248,8 +248,8 @@
 	}
 }
 
-// lost counts the machines whose lease has run out since they came up.
-func (g *grown) lost() int {
+// lostLeaseCount counts the machines whose lease has run out since they came up.
+func (g *grown) lostLeaseCount() int {
 	n := 0
 	for _, wk := range g.Workers {
 		if wk.session > 1 {
@@ -264,7 +264,7 @@
 func TestAllocationsOfReports(t *testing.T) {
 	cost := func(zone int) float64 {
 		g := growTo(DefaultOptions(2), zone)
-		g.load(20 * second)
+		g.submitLoad(20 * second)
 		g.RunUntil(20 * second)
 		n, wk := g.Leader(), g.Workers[sortedKeys(g.Workers)[7]]
 		reports := make([]model.Report, 201)
@@ -302,7 +302,7 @@
 		g.RunUntil(40 * second)
 		n := g.Leader()
 		made := func() (all int) {
-			for _, n := range g.rounds {
+			for _, n := range g.roundsByInterval {
 				all += n
 			}
 			return all
@@ -323,56 +323,56 @@
 	}
 }
 
-// TestFleet is a day of some 2,000 machines: it starts, serves, loses its
+// TestLargestDeployment is a day of some 2,000 machines: it starts, serves, loses its
 // leader, then all controllers, which are back within a moment and crash again
 // inside the election, and a hundred machines hang for longer than their lease.
 // Requests carried out and reports come again, late, all day. What each of this
 // asks of the state service and of the sockets is bounded.
-func TestFleet(t *testing.T) {
+func TestLargestDeployment(t *testing.T) {
 	t.Parallel()
-	g := newFleet(1, 700)
+	g := newLargestDeployment(1, 700)
 	g.RepeatFraction, g.LateReportCopyFraction = 0.03, 0.03
 	watchLeaders(g.Simulation)
-	g.load(150 * second)
+	g.submitLoad(150 * second)
 	c := g.Options.Config
 
 	g.RunUntil(15 * second)
 	if n := len(g.Workers); n != g.machines {
 		t.Fatalf("%d machines are up, want %d", n, g.machines)
 	}
-	if on := g.running(); on < 150 {
+	if on := g.runningTaskCount(); on < 150 {
 		t.Errorf("%d tasks run 15 s after the start: the machines aren't of use yet", on)
 	}
-	if g.puts > g.machines/4 { // a page holds 27 machines, and is written again as it fills
-		t.Errorf("%d changes written to the state service in the first 15 s", g.puts)
+	if g.changesWritten > g.machines/4 { // a page holds 27 machines, and is written again as it fills
+		t.Errorf("%d changes written to the state service in the first 15 s", g.changesWritten)
 	}
 
-	puts, requests := g.puts, g.requests
+	puts, requests := g.changesWritten, g.storeRequests
 	g.RunUntil(35 * second)
-	if rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
+	if rps, wps := float64(g.storeRequests-requests)/20, float64(g.changesWritten-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
 		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", rps, wps)
 	}
 
 	takeover := func(what string, elections int, until time.Duration) {
 		t.Helper()
-		directs, lost, running := g.directs, g.lost(), g.running()
-		puts, requests, from := g.puts, g.requests, g.Now
-		g.atOnce = 0
+		directs, lost, running := g.directCommands, g.lostLeaseCount(), g.runningTaskCount()
+		puts, requests, from := g.changesWritten, g.storeRequests, g.Now
+		g.maxCommandsInFlight = 0
 		g.RunUntil(until)
 		took := (g.Now - from).Seconds()
-		if g.atOnce > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
-			t.Errorf("%s: %d direct commands at the same time", what, g.atOnce)
+		if g.maxCommandsInFlight > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
+			t.Errorf("%s: %d direct commands at the same time", what, g.maxCommandsInFlight)
 		}
-		if n := g.directs - directs; n > 3*elections*g.machines {
+		if n := g.directCommands - directs; n > 3*elections*g.machines {
 			t.Errorf("%s: %d direct commands", what, n)
 		}
-		if rps, wps := float64(g.requests-requests)/took, float64(g.puts-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
+		if rps, wps := float64(g.storeRequests-requests)/took, float64(g.changesWritten-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
 			t.Errorf("%s: %.0f requests and %.0f changes a second", what, rps, wps)
 		}
-		if n := g.lost() - lost; n > 0 {
+		if n := g.lostLeaseCount() - lost; n > 0 {
 			t.Errorf("%s: %d machines lost their lease", what, n)
 		}
-		if now := g.running(); now < running*3/4 {
+		if now := g.runningTaskCount(); now < running*3/4 {
 			t.Errorf("%s: %d tasks ran before, %d now", what, running, now)
 		}
 	}
@@ -413,43 +413,43 @@
 	}
 }
 
-// fleetCounts are what may not grow with the fleet.
-type fleetCounts struct {
-	machines          int
-	allocsPerReport   float64       // of the leader
-	looksPerMachine   float64       // until a takeover is settled
-	directsPerMachine float64       // of the takeover
-	settledAfter      time.Duration // the election
-	changes           float64       // in the state service, in 30 s
-	changesTakeover   float64       // in the 20 s after the leader's end
-	requestsPerSecond float64       // to it, in these
-	leastMargin       time.Duration // of the tasks of cancelled jobs
-	leasesLost        int
+// fleetWork are what may not grow with the fleet.
+type fleetWork struct {
+	machines                  int
+	allocsPerReport           float64       // of the leader
+	scansPerMachine           float64       // until a takeover is settled
+	commandsPerMachine        float64       // of the takeover
+	takeoverDuration          time.Duration // the election
+	steadyChanges             float64       // in the state service, in 30 s
+	takeoverChanges           float64       // in the 20 s after the leader's end
+	takeoverRequestsPerSecond float64       // to it, in these
+	leastCancelMargin         time.Duration // of the tasks of cancelled jobs
+	leasesLost                int
 }
 
-// countWork plays a minute of a fleet whose leader ends as jobs are cancelled.
-func countWork(t *testing.T, zone int) fleetCounts {
-	g := newFleet(1, zone)
-	g.load(60 * second)
+// measureFleetWork plays a minute of a fleet whose leader ends as jobs are cancelled.
+func measureFleetWork(t *testing.T, zone int) fleetWork {
+	g := newLargestDeployment(1, zone)
+	g.submitLoad(60 * second)
 	var elected, settled time.Duration
 	g.onLog("elected", func() { elected = g.Now })
 	g.onLog("all machines accounted for", func() { settled = g.Now })
 	g.RunUntil(20 * second)
-	puts := g.puts
+	puts := g.changesWritten
 	g.RunUntil(50 * second)
-	c := fleetCounts{machines: g.machines, changes: float64(g.puts - puts)}
-	puts, requests, directs := g.puts, g.requests, g.directs
-	g.cancelNow(10, 0)
+	c := fleetWork{machines: g.machines, steadyChanges: float64(g.changesWritten - puts)}
+	puts, requests, directs := g.changesWritten, g.storeRequests, g.directCommands
+	g.cancelRunningJobs(10, 0)
 	g.Leader().Crash()
 	g.RunUntil(70 * second)
 	n := g.Leader()
 	if n == nil {
 		t.Fatal("nobody leads")
 	}
-	c.changesTakeover, c.requestsPerSecond = float64(g.puts-puts), float64(g.requests-requests)/20
-	c.looksPerMachine = float64(n.State.MachinesScanned()) / float64(g.machines)
-	c.directsPerMachine = float64(g.directs-directs) / float64(g.machines)
-	c.settledAfter, c.leastMargin, c.leasesLost = settled-elected, g.Checker.LeastMargin, g.lost()
+	c.takeoverChanges, c.takeoverRequestsPerSecond = float64(g.changesWritten-puts), float64(g.storeRequests-requests)/20
+	c.scansPerMachine = float64(n.State.MachinesScanned()) / float64(g.machines)
+	c.commandsPerMachine = float64(g.directCommands-directs) / float64(g.machines)
+	c.takeoverDuration, c.leastCancelMargin, c.leasesLost = settled-elected, g.Checker.LeastMargin, g.lostLeaseCount()
 	wk := g.Workers[sortedKeys(g.Workers)[zone]]
 	rep := wk.nextReport()
 	c.allocsPerReport = testing.AllocsPerRun(100, func() {
@@ -469,9 +469,9 @@
 // leases, and tasks cancelled in it are gone in time.
 func TestWorkByFleetSize(t *testing.T) {
 	limits := largest(1).Config
-	var smallest fleetCounts
+	var smallest fleetWork
 	for i, zone := range []int{167, 333, 667, 1334} {
-		c := countWork(t, zone)
+		c := measureFleetWork(t, zone)
 		t.Logf("%+v", c)
 		if i == 0 {
 			smallest = c
@@ -479,20 +479,20 @@
 		if c.allocsPerReport > smallest.allocsPerReport+2 {
 			t.Errorf("%d machines: a report takes %.0f allocations, %.0f in the smallest fleet", c.machines, c.allocsPerReport, smallest.allocsPerReport)
 		}
-		if c.looksPerMachine > 6 || c.directsPerMachine > 3 {
-			t.Errorf("%d machines: %.1f looks and %.1f commands a machine until a takeover is settled", c.machines, c.looksPerMachine, c.directsPerMachine)
+		if c.scansPerMachine > 6 || c.commandsPerMachine > 3 {
+			t.Errorf("%d machines: %.1f looks and %.1f commands a machine until a takeover is settled", c.machines, c.scansPerMachine, c.commandsPerMachine)
 		}
-		if c.changes > 1.5*smallest.changes {
-			t.Errorf("%d machines: %.0f changes in 30 s, %.0f in the smallest fleet", c.machines, c.changes, smallest.changes)
+		if c.steadyChanges > 1.5*smallest.steadyChanges {
+			t.Errorf("%d machines: %.0f changes in 30 s, %.0f in the smallest fleet", c.machines, c.steadyChanges, smallest.steadyChanges)
 		}
-		if c.settledAfter <= 0 || c.settledAfter > limits.Lease/2 || c.leasesLost > 0 {
-			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", c.machines, c.settledAfter, c.leasesLost)
+		if c.takeoverDuration <= 0 || c.takeoverDuration > limits.Lease/2 || c.leasesLost > 0 {
+			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", c.machines, c.takeoverDuration, c.leasesLost)
 		}
-		if c.requestsPerSecond > limits.StoreRPS/2 || c.changesTakeover > 20*limits.StoreWriteRPS/2 {
-			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", c.machines, c.requestsPerSecond, c.changesTakeover)
+		if c.takeoverRequestsPerSecond > limits.StoreRPS/2 || c.takeoverChanges > 20*limits.StoreWriteRPS/2 {
+			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", c.machines, c.takeoverRequestsPerSecond, c.takeoverChanges)
 		}
-		if c.leastMargin < limits.CancelWithin-limits.Lease {
-			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", c.machines, c.leastMargin)
+		if c.leastCancelMargin < limits.CancelWithin-limits.Lease {
+			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", c.machines, c.leastCancelMargin)
 		}
 	}
 }
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -16,7 +16,7 @@
 // Each meeting is a day on which two troubles or more meet, as the operators
 // have seen rules broken. On all of them users look closely, cancel at the end,
 // and send odd requests; the checker knows the rules and what is judged besides.
-var meetings = []struct {
+var combinedFaultScenarios = []struct {
 	name string
 	// limit is what team "tight" may use, in CPUs; 0: 9.
 	limit  float64
@@ -26,13 +26,13 @@
 }{
 	{name: "the state service is slow and refuses the leader, then all, while users cancel and ask", faults: func(w *Simulation) {
 		w.At(30*second, func() { w.Store.MaxExtraLatency = 900 * time.Millisecond })
-		w.At(45*second, func() { w.refuseLeader(30 * second) })
-		w.At(45500*time.Millisecond, func() { w.cancelNow(6, 8*second) })
+		w.At(45*second, func() { w.makeStoreUnavailableToLeader(30 * second) })
+		w.At(45500*time.Millisecond, func() { w.cancelRunningJobs(6, 8*second) })
 		w.outage(47*second, 84*second)
-		w.At(60*second, func() { w.cancelNow(6, 0) })
+		w.At(60*second, func() { w.cancelRunningJobs(6, 0) })
 		w.At(120*second, func() { w.Store.MaxExtraLatency = 0 })
 	}},
-	{name: "more work than room, urgent and not, over slow links", load: func(w *Simulation) { crowd(w, 110*second) }, faults: func(w *Simulation) {
+	{name: "more work than room, urgent and not, over slow links", load: func(w *Simulation) { submitOverload(w, 110*second) }, faults: func(w *Simulation) {
 		w.At(20*second, func() { w.Store.MaxExtraLatency = 300 * time.Millisecond })
 		w.At(60*second, func() { w.crashLeader(time.Second) })
 	}},
@@ -52,7 +52,7 @@
 			w.At(time.Duration(65+4*i)*second, func() { w.Controllers[i].CrashFor(500 * time.Millisecond) })
 		}
 	}},
-	{name: "a leader ends while machines with long tasks can't be reached or don't hear", load: func(w *Simulation) { long(w, 10) }, faults: func(w *Simulation) {
+	{name: "a leader ends while machines with long tasks can't be reached or don't hear", load: func(w *Simulation) { submitLongJobs(w, 10) }, faults: func(w *Simulation) {
 		w.At(50*second, func() {
 			for i, h := range sortedKeys(w.Workers) {
 				wk := w.Workers[h]
@@ -69,9 +69,9 @@
 			}
 		})
 		w.At(52*second, func() { w.crashLeader(time.Second) })
-		w.At(80*second, func() { w.cancelNow(4, 0) })
+		w.At(80*second, func() { w.cancelRunningJobs(4, 0) })
 	}},
-	{name: "jobs of two or three tasks end far apart across a change of the leader", load: func(w *Simulation) { apart(w, 120*second) }, faults: func(w *Simulation) {
+	{name: "jobs of two or three tasks end far apart across a change of the leader", load: func(w *Simulation) { submitStaggeredJobs(w, 120*second) }, faults: func(w *Simulation) {
 		for i := range 6 {
 			w.At(time.Duration(25+20*i)*second, func() { w.crashLeader(time.Duration(100+w.Rand.IntN(3000)) * time.Millisecond) })
 		}
@@ -81,8 +81,8 @@
 	{name: "controllers hand over and back, all end, one returns within a second", faults: func(w *Simulation) {
 		for i := range 4 {
 			at := time.Duration(30+25*i) * second
-			w.At(at, func() { w.refuseLeader(4 * second) })
-			w.At(at+3*second, func() { w.cancelNow(3, 0) })
+			w.At(at, func() { w.makeStoreUnavailableToLeader(4 * second) })
+			w.At(at+3*second, func() { w.cancelRunningJobs(3, 0) })
 			w.At(at+8*second, func() {
 				for k, n := range w.Controllers {
 					n.CrashFor(time.Duration(300+6000*((k+i)%3)) * time.Millisecond)
@@ -90,7 +90,7 @@
 			})
 		}
 	}},
-	{name: "jobs bound to one zone lose machines", load: func(w *Simulation) { bound(w, 110*second) }, faults: func(w *Simulation) {
+	{name: "jobs bound to one zone lose machines", load: func(w *Simulation) { submitZoneBoundJobs(w, 110*second) }, faults: func(w *Simulation) {
 		for i := range 8 {
 			w.At(time.Duration(25+13*i)*second, func() {
 				if keys := sortedKeys(w.Cloud.machines); len(keys) > 0 {
@@ -104,9 +104,9 @@
 		w.At(60*second, func() { cutZone(w, "b", 30*second, "hold") })
 		w.At(66*second, func() { w.crashLeader(time.Second) })
 	}},
-	{name: "one-task jobs come four a second, a quarter cancelled", load: func(w *Simulation) { small(w, 130*second) }, opt: func(o *Options) { o.Capacity = 12 }, faults: func(w *Simulation) {
+	{name: "one-task jobs come four a second, a quarter cancelled", load: func(w *Simulation) { submitSmallJobs(w, 130*second) }, opt: func(o *Options) { o.Capacity = 12 }, faults: func(w *Simulation) {
 		w.At(50*second, func() { w.crashLeader(2 * second) })
-		w.At(80*second, func() { w.refuseLeader(10 * second) })
+		w.At(80*second, func() { w.makeStoreUnavailableToLeader(10 * second) })
 		w.outage(110*second, 118*second)
 	}},
 	{name: "answers of the state service are lost, at once or carried out late", faults: func(w *Simulation) {
@@ -114,7 +114,7 @@
 		w.At(45*second, func() { w.crashLeader(500 * time.Millisecond) })
 		w.At(70*second, func() { w.Store.ApplyUnansweredAtOnce = false })
 		w.At(90*second, func() { w.crashLeader(300 * time.Millisecond) })
-		w.At(95*second, func() { w.cancelNow(4, 5*second) })
+		w.At(95*second, func() { w.cancelRunningJobs(4, 5*second) })
 		w.At(130*second, func() { w.Store.UnansweredFraction = 0 })
 	}},
 	{name: "old reports reach every controller as a new leader begins", faults: func(w *Simulation) {
@@ -147,13 +147,13 @@
 					}
 				}
 				if i%3 == 0 {
-					w.cancelNow(2, 3*second)
+					w.cancelRunningJobs(2, 3*second)
 				}
 			})
 		}
 		w.At(70*second, func() { w.crashLeader(400 * time.Millisecond) })
 	}},
-	{name: "a full team, cancelled jobs on machines out of reach, and the leader changes", limit: 8, load: func(w *Simulation) { full(w, 120*second) }, faults: func(w *Simulation) {
+	{name: "a full team, cancelled jobs on machines out of reach, and the leader changes", limit: 8, load: func(w *Simulation) { submitFullTeamJobs(w, 120*second) }, faults: func(w *Simulation) {
 		for i := range 4 {
 			at := time.Duration(30+25*i) * second
 			w.At(at, func() {
@@ -168,7 +168,7 @@
 				}
 			})
 			if i%2 == 1 {
-				w.At(at+time.Second, func() { w.deafOnceFenced(at + 9*second) })
+				w.At(at+time.Second, func() { w.makeUnreachableOnceFenced(at + 9*second) })
 			}
 			w.At(at+time.Second, func() {
 				w.crashLeader(time.Duration(300+2000*i) * time.Millisecond)
@@ -180,16 +180,16 @@
 					})
 				}
 			})
-			w.At(at+1300*time.Millisecond, func() { w.cancelNow(2, 0) })
+			w.At(at+1300*time.Millisecond, func() { w.cancelRunningJobs(2, 0) })
 			for k := range 6 { // new jobs, while some of what runs can't be seen
 				j := batchJob(fmt.Sprintf("req-%06d", 710000+10*i+k), 2)
 				j.Class, j.Spot, j.Team = "full", true, "tight"
 				w.At(at+time.Duration(2+k)*second, func() { w.Users.Submit(j, 8*second) })
 			}
-			w.At(at+6*second, func() { w.cancelNow(1, 0) })
+			w.At(at+6*second, func() { w.cancelRunningJobs(1, 0) })
 		}
 	}},
-	{name: "a leader cut from state service and peers, jobs are cancelled through the new one", load: func(w *Simulation) { long(w, 24) }, faults: func(w *Simulation) {
+	{name: "a leader cut from state service and peers, jobs are cancelled through the new one", load: func(w *Simulation) { submitLongJobs(w, 24) }, faults: func(w *Simulation) {
 		for i := range 2 {
 			at := time.Duration(45+40*i) * second
 			w.At(at, func() {
@@ -197,8 +197,8 @@
 					alone(w, l, 26*second)
 				}
 			})
-			w.At(at+time.Second, func() { w.cancelNow(3, 0) })
-			w.At(at+7*second, func() { w.cancelNow(3, 0) })
+			w.At(at+time.Second, func() { w.cancelRunningJobs(3, 0) })
+			w.At(at+7*second, func() { w.cancelRunningJobs(3, 0) })
 		}
 	}},
 	{name: "workers reach no controller, while commands reach them", faults: func(w *Simulation) {
@@ -210,7 +210,7 @@
 						w.After(time.Duration(5+9*i)*second, func() { wk.CannotReport = false })
 					}
 				}
-				w.After(3*second, func() { w.cancelNow(3, 0) })
+				w.After(3*second, func() { w.cancelRunningJobs(3, 0) })
 				if i == 2 {
 					w.After(4*second, func() { w.crashLeader(time.Second) })
 				}
@@ -218,7 +218,7 @@
 		}
 	}},
 	{name: "all controllers are away for longer than the lease", faults: func(w *Simulation) {
-		w.At(50*second, func() { w.cancelNow(3, 12*second) })
+		w.At(50*second, func() { w.cancelRunningJobs(3, 12*second) })
 		w.At(51*second, func() {
 			for _, n := range w.Controllers {
 				n.CrashFor(15 * second)
@@ -232,13 +232,13 @@
 	}},
 	{name: "a zone with workers and a controller is cut off for longer than the lease", faults: func(w *Simulation) {
 		w.At(40*second, func() { cutZone(w, "a", 25*second, "hold") })
-		w.At(44*second, func() { w.cancelNow(4, 0) })
+		w.At(44*second, func() { w.cancelRunningJobs(4, 0) })
 		w.At(90*second, func() {
 			if l := w.Leader(); l != nil {
 				cutZone(w, w.Options.Zones[l.index], 20*second, "drop")
 			}
 		})
-		w.At(92*second, func() { w.cancelNow(4, 0) })
+		w.At(92*second, func() { w.cancelRunningJobs(4, 0) })
 		w.At(97*second, func() { w.crashLeader(time.Second) })
 	}},
 	{name: "jobs are cancelled as the work changes hands", faults: func(w *Simulation) {
@@ -246,13 +246,13 @@
 			at := time.Duration(30+20*i) * second
 			w.At(at, func() {
 				if i%2 == 0 {
-					w.refuseLeader(5 * second)
+					w.makeStoreUnavailableToLeader(5 * second)
 				} else {
 					w.crashLeader(300 * time.Millisecond)
 				}
 			})
 			for k := range 8 {
-				w.At(at+time.Duration(400*k)*time.Millisecond, func() { w.cancelNow(1, 0) })
+				w.At(at+time.Duration(400*k)*time.Millisecond, func() { w.cancelRunningJobs(1, 0) })
 			}
 		}
 	}},
@@ -276,7 +276,7 @@
 	}},
 	{name: "a cancellation, a question or a repeated submission meets the end, with no other trouble", load: func(w *Simulation) {
 		w.Users.CancelAtEndFraction = 0.7
-		apart(w, 130*second)
+		submitStaggeredJobs(w, 130*second)
 	}, faults: func(w *Simulation) {}},
 }
 
@@ -287,10 +287,10 @@
 	}
 }
 
-// deafOnceFenced makes machines that run cancelled tasks deaf as soon as they
+// makeUnreachableOnceFenced makes machines that run cancelled tasks deaf as soon as they
 // have shown themselves to a new leader, so that it knows of tasks that it can't
 // stop yet.
-func (w *Simulation) deafOnceFenced(until time.Duration) {
+func (w *Simulation) makeUnreachableOnceFenced(until time.Duration) {
 	term := map[*Worker]uint64{}
 	for _, wk := range w.Workers {
 		term[wk] = wk.epoch >> 20
@@ -313,8 +313,8 @@
 	look()
 }
 
-// refuseLeader has the state service refuse whoever leads.
-func (w *Simulation) refuseLeader(d time.Duration) {
+// makeStoreUnavailableToLeader has the state service refuse whoever leads.
+func (w *Simulation) makeStoreUnavailableToLeader(d time.Duration) {
 	if l := w.Leader(); l != nil {
 		w.Store.UnavailableTo[l.Name] = true
 		w.After(d, func() { delete(w.Store.UnavailableTo, l.Name) })
@@ -334,10 +334,10 @@
 	}
 }
 
-// cancelNow has users cancel n jobs that run, within a fifth of a second, those
+// cancelRunningJobs has users cancel n jobs that run, within a fifth of a second, those
 // that would run on for long first; with hang, machines that run them hang that
 // long.
-func (w *Simulation) cancelNow(n int, hang time.Duration) {
+func (w *Simulation) cancelRunningJobs(n int, hang time.Duration) {
 	ids := sortedKeys(w.Checker.jobs)
 	w.Rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	slices.SortStableFunc(ids, func(a, b string) int {
@@ -360,8 +360,8 @@
 	}
 }
 
-// long submits jobs that run for most of the day, some of a team at its limit.
-func long(w *Simulation, n int) {
+// submitLongJobs submits jobs that run for most of the day, some of a team at its limit.
+func submitLongJobs(w *Simulation, n int) {
 	for i := range n {
 		j := batchJob(fmt.Sprintf("req-%06d", 600000+i), 2+i%2)
 		j.Class, j.Spot = "long", i%2 == 0
@@ -372,8 +372,8 @@
 	}
 }
 
-// apart submits jobs of two or three tasks that end far apart.
-func apart(w *Simulation, until time.Duration) {
+// submitStaggeredJobs submits jobs of two or three tasks that end far apart.
+func submitStaggeredJobs(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+3*second {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 2+i%2)
 		j.Class, j.Spot = "apart", true
@@ -381,8 +381,8 @@
 	}
 }
 
-// bound submits jobs that must stay in one zone, one that they name or any.
-func bound(w *Simulation, until time.Duration) {
+// submitZoneBoundJobs submits jobs that must stay in one zone, one that they name or any.
+func submitZoneBoundJobs(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+4*second {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 1+i%6)
 		j.Class, j.Spot, j.OneZone = "bound", true, true
@@ -398,8 +398,8 @@
 	}
 }
 
-// small submits one-task jobs four a second, a quarter of them cancelled.
-func small(w *Simulation, until time.Duration) {
+// submitSmallJobs submits one-task jobs four a second, a quarter of them cancelled.
+func submitSmallJobs(w *Simulation, until time.Duration) {
 	rnd := rand.New(rand.NewPCG(w.Options.Seed, 5))
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+250*time.Millisecond {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 1)
@@ -415,8 +415,8 @@
 	}
 }
 
-// full keeps a team at its limit.
-func full(w *Simulation, until time.Duration) {
+// submitFullTeamJobs keeps a team at its limit.
+func submitFullTeamJobs(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+7*second {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 1+i%4)
 		j.Class, j.Spot, j.Team, j.EstimateS = "full", true, "tight", 20
@@ -424,8 +424,8 @@
 	}
 }
 
-// crowd submits more than there is room for, urgent and not.
-func crowd(w *Simulation, until time.Duration) {
+// submitOverload submits more than there is room for, urgent and not.
+func submitOverload(w *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+2*second {
 		j := batchJob(fmt.Sprintf("req-%06d", i), 3+i%5)
 		j.Class, j.Spot, j.Priority, j.CPUs = "crowd"+j.Priority, true, []string{model.PriorityNormal, model.PriorityLow, model.PriorityHigh}[i%3], 2
@@ -438,9 +438,9 @@
 	}
 }
 
-// odd has users repeat submissions, cancel what is done and submit what can
+// sendRepeatedAndImpossibleRequests has users repeat submissions, cancel what is done and submit what can
 // never run.
-func odd(w *Simulation, until time.Duration) {
+func sendRepeatedAndImpossibleRequests(w *Simulation, until time.Duration) {
 	for i, at := 0, 20*second; at < until; i, at = i+1, at+7*second {
 		w.At(at, func() {
 			never := batchJob(fmt.Sprintf("req-%06d", 800000+i), 1)
@@ -468,19 +468,19 @@
 	}
 }
 
-// telling are seeds whose day shows a guard that those of the others don't.
-var telling = map[string][]uint64{
+// extraSeeds are seeds whose day shows a guard that those of the others don't.
+var extraSeeds = map[string][]uint64{
 	"a full team, cancelled jobs on machines out of reach, and the leader changes": {6}, // new jobs before the takeover is settled
 }
 
-// TestMeetings plays a day of each meeting of troubles and checks the rules and
+// TestCombinedFaults plays a day of each meeting of troubles and checks the rules and
 // what is judged besides: nothing waits beside room, everything is answered.
-func TestMeetings(t *testing.T) {
-	for _, m := range meetings {
+func TestCombinedFaults(t *testing.T) {
+	for _, m := range combinedFaultScenarios {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			list := telling[m.name]
-			for seed := range max(1, *seeds/2) {
+			list := extraSeeds[m.name]
+			for seed := range max(1, *seedCount/2) {
 				list = append(list, uint64(seed+1))
 			}
 			for _, seed := range list {
@@ -499,9 +499,9 @@
 					m.load(w)
 				} else {
 					load(w, 130*second)
-					long(w, 20)
+					submitLongJobs(w, 20)
 				}
-				odd(w, 150*second)
+				sendRepeatedAndImpossibleRequests(w, 150*second)
 				watchLeaders(w)
 				m.faults(w)
 				w.At(170*second, w.Checker.CheckWaiting)
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -16,9 +16,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// shape lists the fields of a stored value, of whatever depth, by the kind of
+// storedFields lists the fields of a stored value, of whatever depth, by the kind of
 // its key; the names of machines in the roster are none.
-func shape(key string, value []byte) (string, []string) {
+func storedFields(key string, value []byte) (string, []string) {
 	dir := strings.Join(strings.SplitN(key, "/", 3)[:2], "/")
 	var v any
 	if json.Unmarshal(value, &v) != nil {
@@ -45,8 +45,8 @@
 	return dir, slices.Sorted(maps.Keys(fields))
 }
 
-// productionShapes are the fields that the version in production stores.
-func productionShapes(t *testing.T) map[string]map[string]bool {
+// productionFields are the fields that the version in production stores.
+func productionFields(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("../core/testdata/production.txt")
 	if err != nil {
@@ -58,7 +58,7 @@
 		if k, ok := strings.CutPrefix(line, "value "); ok {
 			key = k
 		} else if value, ok := strings.CutPrefix(line, "  "); ok && key != "" {
-			dir, fields := shape(key, []byte(value))
+			dir, fields := storedFields(key, []byte(value))
 			if known[dir] == nil {
 				known[dir] = map[string]bool{}
 			}
@@ -79,22 +79,22 @@
 
 // The limits of the state service before and after they are lowered.
 const (
-	loweredValueBytes = 2 << 10
-	loweredTxnOps     = 4
-	loweredWrites     = 35
+	loweredValueBytes      = 2 << 10
+	loweredTxnOps          = 4
+	loweredWritesPerSecond = 35
 )
 
-func (w *Simulation) lowerLimits() {
-	w.Store.MaxValueBytes, w.Store.MaxTxnChanges, w.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWrites
+func (w *Simulation) lowerStoreLimits() {
+	w.Store.MaxValueBytes, w.Store.MaxTxnChanges, w.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWritesPerSecond
 }
 
-// rollOptions are those of a cluster that runs the former version and is rolled
+// upgradeOptions are those of a cluster that runs the former version and is rolled
 // over to the present one, which keeps to the lowered limits from the start.
-func rollOptions(seed uint64) Options {
+func upgradeOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 	former := opt.Config
-	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWrites
+	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWritesPerSecond
 	opt.ConfigurePreviousVersion = func(c *core.Config) {
 		c.MaxValueBytes, c.MaxTxnOps, c.StoreWriteRPS = former.MaxValueBytes, former.MaxTxnOps, former.StoreWriteRPS
 	}
@@ -102,28 +102,28 @@
 	return opt
 }
 
-// rollWatch looks at all that is written and answered while the cluster is
+// upgradeWatcher looks at all that is written and answered while the cluster is
 // rolled over.
-type rollWatch struct {
-	t      *testing.T
-	known  map[string]map[string]bool // fields that the version in production stores
-	raised time.Duration              // when the cluster version was
-	gangAt time.Duration              // when the first gang was accepted
+type upgradeWatcher struct {
+	t                   *testing.T
+	knownFields         map[string]map[string]bool // fields that the version in production stores
+	versionRaisedAt     time.Duration              // when the cluster version was
+	firstGangAcceptedAt time.Duration              // when the first gang was accepted
 }
 
-func (r *rollWatch) tamper(w *Simulation, n *Controller, e core.Effect) core.Effect {
+func (r *upgradeWatcher) observe(w *Simulation, n *Controller, e core.Effect) core.Effect {
 	switch e := e.(type) {
 	case core.StoreCall:
-		r.written(w, n, e)
+		r.checkWrite(w, n, e)
 	case core.Reply:
-		if st, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(st.ID, "req-3") && r.gangAt == 0 {
-			r.gangAt = w.Now
+		if st, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(st.ID, "req-3") && r.firstGangAcceptedAt == 0 {
+			r.firstGangAcceptedAt = w.Now
 		}
 	}
 	return e
 }
 
-func (r *rollWatch) written(w *Simulation, n *Controller, c core.StoreCall) {
+func (r *upgradeWatcher) checkWrite(w *Simulation, n *Controller, c core.StoreCall) {
 	if w.OnPreviousVersion[n.Name] {
 		return
 	}
@@ -137,29 +137,29 @@
 		// Keys of which the version in production knows nothing, and which it
 		// passes over.
 		if ch.Key == "mf/forms" {
-			if r.raised == 0 {
-				r.raised = w.Now
+			if r.versionRaisedAt == 0 {
+				r.versionRaisedAt = w.Now
 			}
 			continue
 		}
-		if ch.Remove || r.raised != 0 || strings.HasPrefix(ch.Key, "mf/v/") {
+		if ch.Remove || r.versionRaisedAt != 0 || strings.HasPrefix(ch.Key, "mf/v/") {
 			continue
 		}
-		dir, fields := shape(ch.Key, ch.Value)
-		if r.known[dir] == nil {
+		dir, fields := storedFields(ch.Key, ch.Value)
+		if r.knownFields[dir] == nil {
 			r.t.Errorf("%s writes %s, which the version in production doesn't read", n.Name, ch.Key)
 		}
 		for _, f := range fields {
-			if !r.known[dir][f] {
+			if !r.knownFields[dir][f] {
 				r.t.Errorf("%s writes %s into %s before all controllers are changed over", n.Name, f, ch.Key)
 			}
 		}
 	}
 }
 
-// rollFaults are the troubles of a roll. turns are the times at which the
+// upgradeFaults are the troubles of a roll. turns are the times at which the
 // controllers are replaced.
-var rollFaults = []struct {
+var upgradeFaults = []struct {
 	name     string
 	limitsAt time.Duration // 0: 100 s, after the roll
 	play     func(w *Simulation, turns []time.Duration)
@@ -169,7 +169,7 @@
 	}},
 	{name: "the state service is out", play: func(w *Simulation, _ []time.Duration) { w.outage(55*second, 68*second) }},
 	{name: "the state service refuses the leader", play: func(w *Simulation, _ []time.Duration) {
-		w.At(52*second, func() { w.refuseLeader(9 * second) })
+		w.At(52*second, func() { w.makeStoreUnavailableToLeader(9 * second) })
 	}},
 	{name: "a zone is cut off", play: func(w *Simulation, _ []time.Duration) {
 		w.At(54*second, func() { cutZone(w, "b", 12*second, "hold") })
@@ -198,16 +198,16 @@
 	}},
 }
 
-// orders of replacing three controllers.
-var orders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
+// upgradeOrders of replacing three controllers.
+var upgradeOrders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 
-// TestRoll rolls the controllers over from the former version to the present
+// TestRollingUpgrade rolls the controllers over from the former version to the present
 // one, in each order, with crashes that the seed chooses, under load and with
 // troubles; then the state service lowers its limits. Users of gangs are told to
 // come back until the last controller has been changed over; until then all that
 // is stored has the former version's form.
-func TestRoll(t *testing.T) {
-	known := productionShapes(t)
+func TestRollingUpgrade(t *testing.T) {
+	known := productionFields(t)
 	mixes := map[string]bool{} // leader's version and how many others are old
 	var mu sync.Mutex
 	t.Cleanup(func() {
@@ -215,13 +215,13 @@
 			t.Errorf("mixes of versions seen: %v, want the leader old or new beside none, one or two old ones", mixes)
 		}
 	})
-	for seed := uint64(0); seed < uint64(max(len(rollFaults), 2**seeds)); seed++ {
-		day := rollFaults[seed%uint64(len(rollFaults))]
+	for seed := uint64(0); seed < uint64(max(len(upgradeFaults), 2**seedCount)); seed++ {
+		day := upgradeFaults[seed%uint64(len(upgradeFaults))]
 		t.Run(fmt.Sprint("seed ", seed, ", ", day.name), func(t *testing.T) {
 			t.Parallel()
-			watch := &rollWatch{t: t, known: known}
-			opt := rollOptions(seed)
-			opt.Tamper = watch.tamper
+			watch := &upgradeWatcher{t: t, knownFields: known}
+			opt := upgradeOptions(seed)
+			opt.Tamper = watch.observe
 			w := New(opt)
 			w.Users.ProbesAllControllers = true
 			w.Cloud.BootTimeFactor = 0.2
@@ -229,9 +229,9 @@
 				w.Cloud.Rent("small", zone, false, 16)
 			}
 			load(w, 130*second)
-			gangs(w, 130*second) // from the start: refused for now
+			submitGangs(w, 130*second) // from the start: refused for now
 			watchLeaders(w)
-			watchMixes(w, func(mix string) {
+			watchVersionMixes(w, func(mix string) {
 				mu.Lock()
 				mixes[mix] = true
 				mu.Unlock()
@@ -240,10 +240,10 @@
 				w.At(at, func() { n.CrashFor(time.Duration(200+w.Rand.IntN(3000)) * time.Millisecond) })
 			}
 			var turns []time.Duration
-			for i, k := range orders[seed%uint64(len(orders))] {
+			for i, k := range upgradeOrders[seed%uint64(len(upgradeOrders))] {
 				n := w.Controllers[k]
 				at := time.Duration(40+12*i+w.Rand.IntN(8)) * second
-				w.replace(n, at)
+				w.upgradeController(n, at)
 				turns = append(turns, at)
 				if w.Rand.IntN(2) == 0 {
 					crash(at-time.Duration(3+w.Rand.IntN(9))*second, n) // it comes back old
@@ -257,7 +257,7 @@
 			if limitsAt == 0 {
 				limitsAt = 100 * second
 			}
-			w.At(limitsAt, w.lowerLimits)
+			w.At(limitsAt, w.lowerStoreLimits)
 			w.At(105*second, func() { // a page that a former leader wrote has to change
 				w.Cloud.RemoveMachine("n-000003")
 				w.Cloud.RemoveMachine("n-000020")
@@ -275,11 +275,11 @@
 				t.Error(b)
 			}
 			rolled := turns[len(turns)-1]
-			if watch.raised <= rolled || watch.raised > rolled+30*second {
-				t.Errorf("the last controller is changed over at %v, the cluster version was raised at %v", rolled, watch.raised)
+			if watch.versionRaisedAt <= rolled || watch.versionRaisedAt > rolled+30*second {
+				t.Errorf("the last controller is changed over at %v, the cluster version was raised at %v", rolled, watch.versionRaisedAt)
 			}
-			if watch.gangAt <= watch.raised {
-				t.Errorf("a gang was accepted at %v, the cluster version was raised at %v", watch.gangAt, watch.raised)
+			if watch.firstGangAcceptedAt <= watch.versionRaisedAt {
+				t.Errorf("a gang was accepted at %v, the cluster version was raised at %v", watch.firstGangAcceptedAt, watch.versionRaisedAt)
 			}
 			if day.limitsAt == 0 && w.Store.RefusedTooLarge+w.Store.RefusedRateLimited > 0 {
 				t.Errorf("%d transactions beyond the lowered limits, %d beyond the rate", w.Store.RefusedTooLarge, w.Store.RefusedRateLimited)
@@ -297,16 +297,16 @@
 	}
 }
 
-// replace changes a controller over to the present version at a time.
-func (w *Simulation) replace(n *Controller, at time.Duration) {
+// upgradeController changes a controller over to the present version at a time.
+func (w *Simulation) upgradeController(n *Controller, at time.Duration) {
 	w.At(at, func() {
 		w.OnPreviousVersion[n.Name] = false
 		n.CrashFor(3 * second)
 	})
 }
 
-// watchMixes reports, all day, which version leads beside how many former ones.
-func watchMixes(w *Simulation, seen func(mix string)) {
+// watchVersionMixes reports, all day, which version leads beside how many former ones.
+func watchVersionMixes(w *Simulation, seen func(mix string)) {
 	var look func()
 	look = func() {
 		if l := w.Leader(); l != nil {
@@ -323,11 +323,11 @@
 	look()
 }
 
-// TestRollWithOneAway: a controller that has been changed over and then can't be
+// TestRollingUpgradeWithUnreachableController: a controller that has been changed over and then can't be
 // reached for minutes doesn't keep gangs waiting. One that was changed back does,
 // whatever it had noted before, once a controller of the new version has led
 // within its reach.
-func TestRollWithOneAway(t *testing.T) {
+func TestRollingUpgradeWithUnreachableController(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// play keeps the first controller from the others from some time after its
@@ -336,36 +336,36 @@
 		taken bool // gangs, before it is back
 	}{
 		{"cut from the other controllers", func(w *Simulation, n *Controller) {
-			w.At(46*second, func() { cutPeers(w, n, 154*second) })
-			w.replace(w.Controllers[1], 65*second)
+			w.At(46*second, func() { cutFromPeers(w, n, 154*second) })
+			w.upgradeController(w.Controllers[1], 65*second)
 		}, true},
 		{"ended", func(w *Simulation, n *Controller) {
 			w.At(50*second, func() { n.CrashFor(150 * second) })
-			w.replace(w.Controllers[1], 65*second)
+			w.upgradeController(w.Controllers[1], 65*second)
 		}, true},
 		{"changed back, heard of, and cut off", func(w *Simulation, n *Controller) {
-			w.replace(w.Controllers[1], 50*second)
+			w.upgradeController(w.Controllers[1], 50*second)
 			w.At(58*second, func() { w.Controllers[2].CrashFor(14 * second) })
 			w.At(60*second, func() { w.OnPreviousVersion[n.Name] = true; n.CrashFor(second) })
-			w.At(70*second, func() { cutPeers(w, n, 130*second) })
+			w.At(70*second, func() { cutFromPeers(w, n, 130*second) })
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= uint64(max(2, *seeds/2)); seed++ {
-				watch := &rollWatch{t: t, known: productionShapes(t)}
-				opt := rollOptions(seed)
-				opt.Tamper = watch.tamper
+			for seed := uint64(1); seed <= uint64(max(2, *seedCount/2)); seed++ {
+				watch := &upgradeWatcher{t: t, knownFields: productionFields(t)}
+				opt := upgradeOptions(seed)
+				opt.Tamper = watch.observe
 				w := New(opt)
 				load(w, 130*second)
-				gangs(w, 130*second)
+				submitGangs(w, 130*second)
 				watchLeaders(w)
-				w.replace(w.Controllers[0], 40*second)
+				w.upgradeController(w.Controllers[0], 40*second)
 				c.play(w, w.Controllers[0])
-				w.replace(w.Controllers[2], 80*second)
+				w.upgradeController(w.Controllers[2], 80*second)
 				w.RunUntil(200 * second)
-				if taken := watch.gangAt != 0 && watch.gangAt < 110*second; taken != c.taken {
-					t.Errorf("seed %d: the first gang was accepted at %v, the cluster version raised at %v", seed, watch.gangAt, watch.raised)
+				if taken := watch.firstGangAcceptedAt != 0 && watch.firstGangAcceptedAt < 110*second; taken != c.taken {
+					t.Errorf("seed %d: the first gang was accepted at %v, the cluster version raised at %v", seed, watch.firstGangAcceptedAt, watch.versionRaisedAt)
 				}
 				w.RunUntil(250 * second)
 				for _, b := range w.Checker.Violations {
@@ -376,8 +376,8 @@
 	}
 }
 
-// cutPeers cuts a controller from the others, not from anything else.
-func cutPeers(w *Simulation, n *Controller, d time.Duration) {
+// cutFromPeers cuts a controller from the others, not from anything else.
+func cutFromPeers(w *Simulation, n *Controller, d time.Duration) {
 	for _, o := range w.Controllers {
 		if o != n {
 			w.Cut(n.Name, o.Name, "drop")
--- a/internal/sim/service_test.go
+++ b/internal/sim/service_test.go
@@ -64,7 +64,7 @@
 }
 
 // The days: what the operators have seen, alone and together.
-var days = []struct {
+var faultScenarios = []struct {
 	name   string
 	faults func(w *Simulation)
 }{
@@ -195,10 +195,10 @@
 	}},
 	{"machines out of earshot", func(w *Simulation) {
 		for at := 30 * second; at < 140*second; at += 19 * second {
-			w.At(at, func() { deafen(w, time.Duration(8+w.Rand.IntN(30))*second) })
+			w.At(at, func() { makeMachineUnreachable(w, time.Duration(8+w.Rand.IntN(30))*second) })
 		}
 		// A new leader must not wait for a deaf machine for ever.
-		w.At(70*second, func() { deafen(w, 100*second) })
+		w.At(70*second, func() { makeMachineUnreachable(w, 100*second) })
 		w.At(75*second, func() {
 			if l := w.Leader(); l != nil {
 				l.Crash()
@@ -360,7 +360,7 @@
 				case 1:
 					alone(w, a, 14*second)
 				case 2:
-					deafen(w, 25*second)
+					makeMachineUnreachable(w, 25*second)
 				case 3:
 					cutZone(w, w.Options.Zones[w.Rand.IntN(3)], 25*second, "hold")
 				case 4:
@@ -415,8 +415,8 @@
 	}},
 }
 
-// deafen puts one machine out of earshot for d.
-func deafen(w *Simulation, d time.Duration) {
+// makeMachineUnreachable puts one machine out of earshot for d.
+func makeMachineUnreachable(w *Simulation, d time.Duration) {
 	keys := sortedKeys(w.Workers)
 	if len(keys) == 0 {
 		return
@@ -479,26 +479,26 @@
 	})
 }
 
-// brokeOnce are seeds whose day once broke a rule.
-var brokeOnce = map[string][]uint64{
+// regressionSeeds are seeds whose day once broke a rule.
+var regressionSeeds = map[string][]uint64{
 	"answers lost again and again, then a machine cut off": {29, 60}, // a new session's lease counted from the old one
 	"everything new together":                              {46, 63}, // work on a marked machine; a held answer
 	"requests carried out come again":                      {7, 24},  // a copy of a command started what had been forgotten
 }
 
 // more seeds than these few are for hunting by hand.
-var seeds = flag.Int("seeds", 4, "seeds that each day is played with")
+var seedCount = flag.Int("seeds", 4, "seeds that each day is played with")
 
-// TestDays plays whole days with each kind of trouble and checks every rule.
-func TestDays(t *testing.T) {
-	for _, day := range days {
+// TestFaultScenarios plays whole days with each kind of trouble and checks every rule.
+func TestFaultScenarios(t *testing.T) {
+	for _, day := range faultScenarios {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
 			var list []uint64
-			for seed := range *seeds {
+			for seed := range *seedCount {
 				list = append(list, uint64(seed+1))
 			}
-			for _, seed := range append(list, brokeOnce[day.name]...) {
+			for _, seed := range append(list, regressionSeeds[day.name]...) {
 				opt := DefaultOptions(seed)
 				opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 				w := New(opt)
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -11,9 +11,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestGuaranteeIsGivenBack: a team that borrows all machines has to give back
+// TestGuaranteePreemptsBorrower: a team that borrows all machines has to give back
 // what another team's guarantee needs, though the priorities are equal.
-func TestGuaranteeIsGivenBack(t *testing.T) {
+func TestGuaranteePreemptsBorrower(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1 // three machines of 4 CPUs, and three spot ones that nobody may use
 	opt.Config.Teams["own"] = core.Team{Guaranteed: sched.Resources{CPUs: 4}}
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestEqualsAreNotPreempted: without a guarantee, work doesn't stop work of
+// TestEqualPriorityIsNotPreempted: without a guarantee, work doesn't stop work of
 // its own priority.
-func TestEqualsAreNotPreempted(t *testing.T) {
+func TestEqualPriorityIsNotPreempted(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1
 	w := New(opt)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestProdPreemptsLeastLoss: a replica that finds no room stops lower work,
+// TestProdPreemptsOnlyWhatItNeeds: a replica that finds no room stops lower work,
 // and only as much as it needs.
-func TestProdPreemptsLeastLoss(t *testing.T) {
+func TestProdPreemptsOnlyWhatItNeeds(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1
 	w := New(opt)
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestIdleMachinesServeWhileTheCloudIsDown: a return that the cloud refused
+// TestIdleMachinesServeDuringCloudOutage: a return that the cloud refused
 // leaves the machine as it was. It used to stand empty until the cloud was
 // back, while jobs waited for it.
-func TestIdleMachinesServeWhileTheCloudIsDown(t *testing.T) {
+func TestIdleMachinesServeDuringCloudOutage(t *testing.T) {
 	w := New(DefaultOptions(4))
 	w.At(second, func() { w.Users.Submit(batchJob("req-000001", 4), 5*second) })
 	w.At(20*second, func() { w.Cloud.Unavailable = true })
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestNobodyStarves: more urgent work than the machines can do, all the time,
+// TestLowPriorityJobDoesNotStarve: more urgent work than the machines can do, all the time,
 // with a burst of replicas on top and a machine lost. The largest and least
 // urgent job begins all the same.
-func TestNobodyStarves(t *testing.T) {
+func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	opt := DefaultOptions(6)
 	opt.Capacity = 1 // three machines of 4 CPUs, and three spot ones that nobody may use
 	w := New(opt)
@@ -151,11 +151,11 @@
 	}
 }
 
-// TestMarkedMachineIsNotAnswered: a machine comes back from a hang while the
+// TestUnresponsiveMachineLeaseIsNotRenewed: a machine comes back from a hang while the
 // state service is away, so that its mark as silent can't be taken off the
 // roster; then the leader crashes. Its successor goes by the mark, so nobody
 // may have renewed the machine's lease in the meantime.
-func TestMarkedMachineIsNotAnswered(t *testing.T) {
+func TestUnresponsiveMachineLeaseIsNotRenewed(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		w := New(DefaultOptions(seed))
 		long := batchJob("req-000001", 12) // three machines
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestOperatorsLimitOnMachines: rentals stop at the operators' limit, and the
+// TestMaxMachinesLimit: rentals stop at the operators' limit, and the
 // log says so once. A limit of our own once kept a fleet from renting at all:
 // more machines stood there than it allowed.
-func TestOperatorsLimitOnMachines(t *testing.T) {
+func TestMaxMachinesLimit(t *testing.T) {
 	for _, limit := range []int{0, 5} {
 		opt := DefaultOptions(6)
 		opt.Config.MaxMachines = limit
@@ -203,10 +203,10 @@
 	}
 }
 
-// TestGangMakesRoom: a gang within its team's guarantee, or more urgent than
+// TestGangPreemption: a gang within its team's guarantee, or more urgent than
 // what runs, gets the room of other work on all machines that it needs at once;
 // where the gang as a whole still wouldn't fit, nothing is stopped.
-func TestGangMakesRoom(t *testing.T) {
+func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
 	own := func(tasks int) model.Job {
 		g := gangOf("req-000009", tasks)
