--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -23,60 +23,62 @@
 
 // newLargestDeployment has three times zone machines and the settings of the largest
 // deployments.
-func newLargestDeployment(seed uint64, zone int) *grown { return growTo(largest(seed), zone) }
+func newLargestDeployment(seed uint64, machinesPerZone int) *grown {
+	return growTo(largest(seed), machinesPerZone)
+}
 
 // largest are the settings of the largest deployments, less the time that workers
 // need for details.
 func largest(seed uint64) Options {
 	opt := DefaultOptions(seed)
-	c := &opt.Config
-	c.ReportInterval, c.Lease, c.CancelWithin = 6*second, 31*second, 51*second
-	c.StoreRPS, c.StoreWriteRPS, c.MaxValueBytes, c.MaxTxnOps = 250, 70, 16<<10, 24
-	c.MaxDirectCommands, c.MaxRequests = 152, 1990
+	config := &opt.Config
+	config.ReportInterval, config.Lease, config.CancelWithin = 6*second, 31*second, 51*second
+	config.StoreRPS, config.StoreWriteRPS, config.MaxValueBytes, config.MaxTxnOps = 250, 70, 16<<10, 24
+	config.MaxDirectCommands, config.MaxRequests = 152, 1990
 	opt.WorkerStepInterval = 100 * time.Millisecond
 	return opt
 }
 
-func growTo(opt Options, zone int) *grown {
-	g := &grown{roundsByInterval: map[time.Duration]int{}, machines: zone * len(opt.Zones)}
-	opt.Capacity = zone
+func growTo(opt Options, machinesPerZone int) *grown {
+	fleet := &grown{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
+	opt.Capacity = machinesPerZone
 	opt.Config.Stopwatch = func() func() time.Duration {
-		if g.Simulation != nil {
-			g.roundsByInterval[g.Now/opt.Config.ReportInterval]++
+		if fleet.Simulation != nil {
+			fleet.roundsByInterval[fleet.Now/opt.Config.ReportInterval]++
 		}
 		return func() time.Duration { return 0 }
 	}
-	opt.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+	opt.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
 		switch e := e.(type) {
 		case core.StoreCall:
-			g.storeRequests++
-			g.changesWritten += len(e.Changes)
+			fleet.storeRequests++
+			fleet.changesWritten += len(e.Changes)
 		case core.AgentCall:
-			g.directCommands++
-			g.commandsInFlight++
-			g.maxCommandsInFlight = max(g.maxCommandsInFlight, g.commandsInFlight)
-			w.After(10*time.Millisecond, func() { g.commandsInFlight-- }) // the longest way there and back
+			fleet.directCommands++
+			fleet.commandsInFlight++
+			fleet.maxCommandsInFlight = max(fleet.maxCommandsInFlight, fleet.commandsInFlight)
+			sim.After(10*time.Millisecond, func() { fleet.commandsInFlight-- }) // the longest way there and back
 		}
 		return e
 	}
-	g.Simulation = New(opt)
-	g.Cloud.BootTimeFactor = 0.02 // up within a moment
-	for _, name := range opt.Zones {
-		g.Cloud.Rent("small", name, false, zone)
+	fleet.Simulation = New(opt)
+	fleet.Cloud.BootTimeFactor = 0.02 // up within a moment
+	for _, zone := range opt.Zones {
+		fleet.Cloud.Rent("small", zone, false, machinesPerZone)
 	}
-	return g
+	return fleet
 }
 
 // submitLoad keeps some 400 tasks running in jobs of 40, and services of 8.
-func (g *grown) submitLoad(until time.Duration) {
+func (fleet *grown) submitLoad(until time.Duration) {
 	for i, at := 0, second; at < until; i, at = i+1, at+2*second {
-		j := batchJob(fmt.Sprintf("req-%06d", i), 40)
-		j.Class, j.Image = "batch", fmt.Sprintf("img-%d", i%6)
-		g.At(at, func() { g.Users.Submit(j, 20*second) })
+		job := batchJob(fmt.Sprintf("req-%06d", i), 40)
+		job.Class, job.Image = "batch", fmt.Sprintf("img-%d", i%6)
+		fleet.At(at, func() { fleet.Users.Submit(job, 20*second) })
 		if i%5 == 0 {
-			sv := serviceJob(fmt.Sprintf("req-%06d", 500000+i), 8)
-			sv.Class = "service"
-			g.At(at, func() { g.Users.Submit(sv, 0) })
+			service := serviceJob(fmt.Sprintf("req-%06d", 500000+i), 8)
+			service.Class = "service"
+			fleet.At(at, func() { fleet.Users.Submit(service, 0) })
 		}
 	}
 }
@@ -85,52 +87,52 @@
 // with the fleet: writes of the roster, rounds of decisions, direct commands at
 // a time, and how long it takes until all machines are of use.
 func TestLargeFleet(t *testing.T) {
-	g := newDefaultFleet(1)
-	g.submitLoad(100 * second)
-	g.RunUntil(8 * second)
-	if n := len(g.Workers); n != 450 {
+	fleet := newDefaultFleet(1)
+	fleet.submitLoad(100 * second)
+	fleet.RunUntil(8 * second)
+	if n := len(fleet.Workers); n != 450 {
 		t.Fatalf("%d machines are up, want 450", n)
 	}
-	if on := g.runningTaskCount(); on < 100 {
-		t.Errorf("%d tasks run 8 s after the start: the machines aren't of use yet", on)
+	if running := fleet.runningTaskCount(); running < 100 {
+		t.Errorf("%d tasks run 8 s after the start: the machines aren't of use yet", running)
 	}
 	// One write a machine would be 450, and more than half a minute's worth.
-	if g.changesWritten > 120 {
-		t.Errorf("%d changes written to the state service in the first 8 s", g.changesWritten)
+	if fleet.changesWritten > 120 {
+		t.Errorf("%d changes written to the state service in the first 8 s", fleet.changesWritten)
 	}
-	g.RunUntil(40 * second)
-	puts, requests := g.changesWritten, g.storeRequests
-	g.RunUntil(60 * second)
-	rps, wps := float64(g.storeRequests-requests)/20, float64(g.changesWritten-puts)/20
-	if rps > g.Options.Config.StoreRPS || wps > g.Options.Config.StoreWriteRPS {
-		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", rps, wps)
+	fleet.RunUntil(40 * second)
+	changes, requests := fleet.changesWritten, fleet.storeRequests
+	fleet.RunUntil(60 * second)
+	requestRate, changeRate := float64(fleet.storeRequests-requests)/20, float64(fleet.changesWritten-changes)/20
+	if requestRate > fleet.Options.Config.StoreRPS || changeRate > fleet.Options.Config.StoreWriteRPS {
+		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", requestRate, changeRate)
 	}
-	for at, n := range g.roundsByInterval {
+	for at, n := range fleet.roundsByInterval {
 		if n > 26 { // 24, and one at each end
-			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Options.Config.ReportInterval)
+			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*fleet.Options.Config.ReportInterval)
 		}
 	}
 
 	// The leader crashes: its successor must reach every machine well inside
 	// the lease, without asking all of them at the same moment.
-	before, killed := g.directCommands, len(g.Checker.Violations)
-	running := g.runningTaskCount()
-	g.maxCommandsInFlight = 0
-	g.Leader().Crash()
-	g.RunUntil(60*second + g.Options.Config.Lease + 2*second)
-	if g.maxCommandsInFlight > 100 {
-		t.Errorf("%d direct commands at the same time", g.maxCommandsInFlight)
-	}
-	if n := g.directCommands - before; n > 3*450 {
+	before, violations := fleet.directCommands, len(fleet.Checker.Violations)
+	running := fleet.runningTaskCount()
+	fleet.maxCommandsInFlight = 0
+	fleet.Leader().Crash()
+	fleet.RunUntil(60*second + fleet.Options.Config.Lease + 2*second)
+	if fleet.maxCommandsInFlight > 100 {
+		t.Errorf("%d direct commands at the same time", fleet.maxCommandsInFlight)
+	}
+	if n := fleet.directCommands - before; n > 3*450 {
 		t.Errorf("%d direct commands after the takeover", n)
 	}
-	if now := g.runningTaskCount(); now < running/2 {
-		t.Errorf("%d tasks ran before the crash, %d a lease later", running, now)
+	if runningNow := fleet.runningTaskCount(); runningNow < running/2 {
+		t.Errorf("%d tasks ran before the crash, %d a lease later", running, runningNow)
 	}
-	if len(g.Checker.Violations) > killed {
-		t.Error(g.Checker.Violations)
+	if len(fleet.Checker.Violations) > violations {
+		t.Error(fleet.Checker.Violations)
 	}
-	if lost := g.lostLeaseCount(); lost > 0 {
+	if lost := fleet.lostLeaseCount(); lost > 0 {
 		t.Errorf("%d of 450 machines lost their lease in the takeover", lost)
 	}
 }
@@ -139,27 +141,27 @@
 // returned, the rest goes on, and what the zone held runs elsewhere before the
 // cut is over.
 func TestLargeFleetZoneCut(t *testing.T) {
-	g := newDefaultFleet(2)
-	g.submitLoad(60 * second)
-	g.At(50*second, func() { cutZone(g.Simulation, "c", 40*second, "hold") })
-	g.RunUntil(85 * second)
-	gone := 0
-	for _, m := range g.Cloud.machines {
-		if m.Zone == "c" && m.removed {
-			gone++
+	fleet := newDefaultFleet(2)
+	fleet.submitLoad(60 * second)
+	fleet.At(50*second, func() { cutZone(fleet.Simulation, "c", 40*second, "hold") })
+	fleet.RunUntil(85 * second)
+	returned := 0
+	for _, machine := range fleet.Cloud.machines {
+		if machine.Zone == "c" && machine.removed {
+			returned++
 		}
 	}
-	if gone > 15 {
-		t.Errorf("%d machines of the zone that was only cut off were returned", gone)
+	if returned > 15 {
+		t.Errorf("%d machines of the zone that was only cut off were returned", returned)
 	}
-	for _, id := range sortedKeys(g.Checker.jobs) {
-		if j := g.Checker.jobs[id]; j.spec.Kind == model.KindService && len(j.runningOn) != j.spec.Tasks {
-			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(j.runningOn), j.spec.Tasks)
+	for _, id := range sortedKeys(fleet.Checker.jobs) {
+		if job := fleet.Checker.jobs[id]; job.spec.Kind == model.KindService && len(job.runningOn) != job.spec.Tasks {
+			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(job.runningOn), job.spec.Tasks)
 		}
 	}
-	g.RunUntil(130 * second)
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.RunUntil(130 * second)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
@@ -168,29 +170,29 @@
 // is given up after a command in vain. Either once kept every older job of a
 // large fleet waiting after an election.
 func TestLostMachinesDoNotDelayTakeover(t *testing.T) {
-	g := newLargestDeployment(3, 150)
-	g.submitLoad(100 * second)
-	var returned, elected, settled time.Duration
-	g.onReturn(func(host string) {
-		if host == "n-000007" && returned == 0 {
-			returned = g.Now
+	fleet := newLargestDeployment(3, 150)
+	fleet.submitLoad(100 * second)
+	var returnedAt, electedAt, settledAt time.Duration
+	fleet.onReturn(func(host string) {
+		if host == "n-000007" && returnedAt == 0 {
+			returnedAt = fleet.Now
 		}
 	})
-	g.onLog("elected", func() { elected = g.Now })
-	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.At(20*second, func() { g.Cloud.Reclaim("n-000007", 10*second) })
-	g.RunUntil(40 * second)
-	if returned == 0 || returned > 33*second {
-		t.Errorf("the machine taken at 30 s was returned at %v", returned)
-	}
-	g.Cloud.RemoveMachine("n-000008")
-	g.Leader().Crash()
-	g.RunUntil(90 * second)
-	if late := 10 * second; settled < elected || settled-elected > late {
-		t.Errorf("elected at %v, all machines accounted for at %v, want within %v", elected, settled, late)
-	}
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.onLog("elected", func() { electedAt = fleet.Now })
+	fleet.onLog("all machines accounted for", func() { settledAt = fleet.Now })
+	fleet.At(20*second, func() { fleet.Cloud.Reclaim("n-000007", 10*second) })
+	fleet.RunUntil(40 * second)
+	if returnedAt == 0 || returnedAt > 33*second {
+		t.Errorf("the machine taken at 30 s was returned at %v", returnedAt)
+	}
+	fleet.Cloud.RemoveMachine("n-000008")
+	fleet.Leader().Crash()
+	fleet.RunUntil(90 * second)
+	if maxDelay := 10 * second; settledAt < electedAt || settledAt-electedAt > maxDelay {
+		t.Errorf("elected at %v, all machines accounted for at %v, want within %v", electedAt, settledAt, maxDelay)
+	}
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
@@ -202,57 +204,57 @@
 func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
-	g := growTo(opt, 150)
-	g.submitLoad(100 * second)
-	var elected, settled []time.Duration
-	returned := map[string]time.Duration{}
-	g.onReturn(func(host string) { returned[host] = g.Now })
-	g.onLog("elected", func() { elected = append(elected, g.Now) })
-	g.onLog("all machines accounted for", func() { settled = append(settled, g.Now) })
-	g.RunUntil(40 * second)
-	cut := g.Workers[sortedKeys(g.Workers)[0]].info.Zone
-	cutZone(g.Simulation, cut, 60*second, "drop")
-	for _, n := range g.Controllers {
-		n.Crash()
-	}
-	for g.Leader() == nil && g.Now < 60*second {
-		g.RunUntil(g.Now + 50*time.Millisecond)
-	}
-	g.RunUntil(g.Now + second)
-	l := g.Leader()
-	g.Store.UnavailableTo[l.Name] = true
-	for l == g.Leader() {
-		g.RunUntil(g.Now + 50*time.Millisecond)
-	}
-	var dead []string
-	for _, k := range sortedKeys(g.Workers) {
-		if wk := g.Workers[k]; wk.info.Zone != cut && len(dead) < 4 {
-			dead = append(dead, wk.info.Host)
-			g.Cloud.RemoveMachine(wk.info.Host)
+	fleet := growTo(opt, 150)
+	fleet.submitLoad(100 * second)
+	var electedAt, settledAt []time.Duration
+	returnedAt := map[string]time.Duration{}
+	fleet.onReturn(func(host string) { returnedAt[host] = fleet.Now })
+	fleet.onLog("elected", func() { electedAt = append(electedAt, fleet.Now) })
+	fleet.onLog("all machines accounted for", func() { settledAt = append(settledAt, fleet.Now) })
+	fleet.RunUntil(40 * second)
+	zone := fleet.Workers[sortedKeys(fleet.Workers)[0]].info.Zone
+	cutZone(fleet.Simulation, zone, 60*second, "drop")
+	for _, controller := range fleet.Controllers {
+		controller.Crash()
+	}
+	for fleet.Leader() == nil && fleet.Now < 60*second {
+		fleet.RunUntil(fleet.Now + 50*time.Millisecond)
+	}
+	fleet.RunUntil(fleet.Now + second)
+	leader := fleet.Leader()
+	fleet.Store.UnavailableTo[leader.Name] = true
+	for leader == fleet.Leader() {
+		fleet.RunUntil(fleet.Now + 50*time.Millisecond)
+	}
+	var removed []string
+	for _, k := range sortedKeys(fleet.Workers) {
+		if worker := fleet.Workers[k]; worker.info.Zone != zone && len(removed) < 4 {
+			removed = append(removed, worker.info.Host)
+			fleet.Cloud.RemoveMachine(worker.info.Host)
 		}
 	}
-	g.RunUntil(70 * second)
-	if len(elected) != 3 || len(settled) != 2 {
-		t.Fatalf("elected at %v, all machines accounted for at %v", elected, settled)
+	fleet.RunUntil(70 * second)
+	if len(electedAt) != 3 || len(settledAt) != 2 {
+		t.Fatalf("elected at %v, all machines accounted for at %v", electedAt, settledAt)
 	}
-	for _, h := range dead {
-		if at := returned[h]; at == 0 || at-elected[2] > 6*second {
-			t.Errorf("%s, which died at the election at %v, was returned at %v", h, elected[2], at)
+	for _, host := range removed {
+		if at := returnedAt[host]; at == 0 || at-electedAt[2] > 6*second {
+			t.Errorf("%s, which died at the election at %v, was returned at %v", host, electedAt[2], at)
 		}
 	}
-	if over := elected[1] + opt.Config.Lease + second; settled[1] > over {
-		t.Errorf("all machines accounted for at %v, want at %v, when the leases of the cut zone are over", settled[1], over)
+	if limit := electedAt[1] + opt.Config.Lease + second; settledAt[1] > limit {
+		t.Errorf("all machines accounted for at %v, want at %v, when the leases of the cut zone are over", settledAt[1], limit)
 	}
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
 // lostLeaseCount counts the machines whose lease has run out since they came up.
-func (g *grown) lostLeaseCount() int {
+func (fleet *grown) lostLeaseCount() int {
 	n := 0
-	for _, wk := range g.Workers {
-		if wk.session > 1 {
+	for _, worker := range fleet.Workers {
+		if worker.session > 1 {
 			n++
 		}
 	}
@@ -262,25 +264,25 @@
 // TestAllocationsOfReports: what the core allocates for a report that brings
 // nothing new and for its answer is a handful, whatever the size of the fleet.
 func TestAllocationsOfReports(t *testing.T) {
-	cost := func(zone int) float64 {
-		g := growTo(DefaultOptions(2), zone)
-		g.submitLoad(20 * second)
-		g.RunUntil(20 * second)
-		n, wk := g.Leader(), g.Workers[sortedKeys(g.Workers)[7]]
+	allocations := func(machinesPerZone int) float64 {
+		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		fleet.submitLoad(20 * second)
+		fleet.RunUntil(20 * second)
+		leader, worker := fleet.Leader(), fleet.Workers[sortedKeys(fleet.Workers)[7]]
 		reports := make([]model.Report, 201)
 		for i := range reports {
-			reports[i] = wk.nextReport()
+			reports[i] = worker.nextReport()
 		}
 		i := 0
 		return testing.AllocsPerRun(200, func() {
-			out := n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
+			out := leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
 			i++
 			if len(out) == 0 {
 				t.Fatal("no answer at once")
 			}
 		})
 	}
-	small, large := cost(50), cost(150)
+	small, large := allocations(50), allocations(150)
 	if small > 12 || large > small+8 {
 		t.Errorf("%v allocations a report with 150 machines, %v with 450", small, large)
 	}
@@ -290,34 +292,34 @@
 // while a job waits that fits nowhere now, go over all machines, but allocate less
 // than once for each.
 func TestAllocationsOfRounds(t *testing.T) {
-	cost := func(zone int) float64 {
-		g := growTo(DefaultOptions(2), zone)
-		for i := range zone { // each takes three machines
-			g.At(second, func() { g.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
+	allocations := func(machinesPerZone int) float64 {
+		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		for i := range machinesPerZone { // each takes three machines
+			fleet.At(second, func() { fleet.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
 		}
-		g.At(30*second, func() {
-			j := batchJob("req-900000", 4)
-			g.Users.Submit(j, 10*second)
+		fleet.At(30*second, func() {
+			job := batchJob("req-900000", 4)
+			fleet.Users.Submit(job, 10*second)
 		})
-		g.RunUntil(40 * second)
-		n := g.Leader()
-		made := func() (all int) {
-			for _, n := range g.roundsByInterval {
-				all += n
+		fleet.RunUntil(40 * second)
+		leader := fleet.Leader()
+		roundCount := func() (total int) {
+			for _, n := range fleet.roundsByInterval {
+				total += n
 			}
-			return all
+			return total
 		}
-		now, before := n.monotonicNow(), made()
-		each := testing.AllocsPerRun(4, func() { // and once before
-			now += g.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
-			n.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
+		now, before := leader.monotonicNow(), roundCount()
+		perRound := testing.AllocsPerRun(4, func() { // and once before
+			now += fleet.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
+			leader.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
 		})
-		if got := made() - before; got < 5 || !n.State.IsLeaderAt(now) {
-			t.Fatalf("%d rounds in 5 ticks, leading: %v", got, n.State.IsLeaderAt(now))
+		if got := roundCount() - before; got < 5 || !leader.State.IsLeaderAt(now) {
+			t.Fatalf("%d rounds in 5 ticks, leading: %v", got, leader.State.IsLeaderAt(now))
 		}
-		return each
+		return perRound
 	}
-	small, large := cost(50), cost(150)
+	small, large := allocations(50), allocations(150)
 	if small > 150 || large > 450 {
 		t.Errorf("%v allocations a tick and round with 150 machines, %v with 450", small, large)
 	}
@@ -330,85 +332,85 @@
 // asks of the state service and of the sockets is bounded.
 func TestLargestDeployment(t *testing.T) {
 	t.Parallel()
-	g := newLargestDeployment(1, 700)
-	g.RepeatFraction, g.LateReportCopyFraction = 0.03, 0.03
-	watchLeaders(g.Simulation)
-	g.submitLoad(150 * second)
-	c := g.Options.Config
+	fleet := newLargestDeployment(1, 700)
+	fleet.RepeatFraction, fleet.LateReportCopyFraction = 0.03, 0.03
+	watchLeaders(fleet.Simulation)
+	fleet.submitLoad(150 * second)
+	config := fleet.Options.Config
 
-	g.RunUntil(15 * second)
-	if n := len(g.Workers); n != g.machines {
-		t.Fatalf("%d machines are up, want %d", n, g.machines)
+	fleet.RunUntil(15 * second)
+	if n := len(fleet.Workers); n != fleet.machines {
+		t.Fatalf("%d machines are up, want %d", n, fleet.machines)
 	}
-	if on := g.runningTaskCount(); on < 150 {
-		t.Errorf("%d tasks run 15 s after the start: the machines aren't of use yet", on)
+	if running := fleet.runningTaskCount(); running < 150 {
+		t.Errorf("%d tasks run 15 s after the start: the machines aren't of use yet", running)
 	}
-	if g.changesWritten > g.machines/4 { // a page holds 27 machines, and is written again as it fills
-		t.Errorf("%d changes written to the state service in the first 15 s", g.changesWritten)
+	if fleet.changesWritten > fleet.machines/4 { // a page holds 27 machines, and is written again as it fills
+		t.Errorf("%d changes written to the state service in the first 15 s", fleet.changesWritten)
 	}
 
-	puts, requests := g.changesWritten, g.storeRequests
-	g.RunUntil(35 * second)
-	if rps, wps := float64(g.storeRequests-requests)/20, float64(g.changesWritten-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
-		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", rps, wps)
+	changes, requests := fleet.changesWritten, fleet.storeRequests
+	fleet.RunUntil(35 * second)
+	if requestRate, changeRate := float64(fleet.storeRequests-requests)/20, float64(fleet.changesWritten-changes)/20; requestRate > config.StoreRPS/2 || changeRate > config.StoreWriteRPS/2 {
+		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", requestRate, changeRate)
 	}
 
-	takeover := func(what string, elections int, until time.Duration) {
+	takeover := func(stage string, elections int, until time.Duration) {
 		t.Helper()
-		directs, lost, running := g.directCommands, g.lostLeaseCount(), g.runningTaskCount()
-		puts, requests, from := g.changesWritten, g.storeRequests, g.Now
-		g.maxCommandsInFlight = 0
-		g.RunUntil(until)
-		took := (g.Now - from).Seconds()
-		if g.maxCommandsInFlight > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
-			t.Errorf("%s: %d direct commands at the same time", what, g.maxCommandsInFlight)
+		commands, lost, running := fleet.directCommands, fleet.lostLeaseCount(), fleet.runningTaskCount()
+		changes, requests, from := fleet.changesWritten, fleet.storeRequests, fleet.Now
+		fleet.maxCommandsInFlight = 0
+		fleet.RunUntil(until)
+		elapsedSeconds := (fleet.Now - from).Seconds()
+		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
+			t.Errorf("%s: %d direct commands at the same time", stage, fleet.maxCommandsInFlight)
 		}
-		if n := g.directCommands - directs; n > 3*elections*g.machines {
-			t.Errorf("%s: %d direct commands", what, n)
+		if n := fleet.directCommands - commands; n > 3*elections*fleet.machines {
+			t.Errorf("%s: %d direct commands", stage, n)
 		}
-		if rps, wps := float64(g.storeRequests-requests)/took, float64(g.changesWritten-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
-			t.Errorf("%s: %.0f requests and %.0f changes a second", what, rps, wps)
+		if requestRate, changeRate := float64(fleet.storeRequests-requests)/elapsedSeconds, float64(fleet.changesWritten-changes)/elapsedSeconds; requestRate > config.StoreRPS/2 || changeRate > config.StoreWriteRPS/2 {
+			t.Errorf("%s: %.0f requests and %.0f changes a second", stage, requestRate, changeRate)
 		}
-		if n := g.lostLeaseCount() - lost; n > 0 {
-			t.Errorf("%s: %d machines lost their lease", what, n)
+		if n := fleet.lostLeaseCount() - lost; n > 0 {
+			t.Errorf("%s: %d machines lost their lease", stage, n)
 		}
-		if now := g.runningTaskCount(); now < running*3/4 {
-			t.Errorf("%s: %d tasks ran before, %d now", what, running, now)
+		if runningNow := fleet.runningTaskCount(); runningNow < running*3/4 {
+			t.Errorf("%s: %d tasks ran before, %d now", stage, running, runningNow)
 		}
 	}
-	g.Leader().Crash()
+	fleet.Leader().Crash()
 	takeover("the leader crashes", 1, 75*second)
 
-	for _, n := range g.Controllers {
-		n.CrashFor(300 * time.Millisecond)
+	for _, controller := range fleet.Controllers {
+		controller.CrashFor(300 * time.Millisecond)
 	}
-	for i, n := range g.Controllers {
-		g.After(time.Duration(6000+400*i)*time.Millisecond, func() { n.CrashFor(200 * time.Millisecond) })
+	for i, controller := range fleet.Controllers {
+		fleet.After(time.Duration(6000+400*i)*time.Millisecond, func() { controller.CrashFor(200 * time.Millisecond) })
 	}
 	takeover("all crash, again inside the election", 2, 115*second)
 
-	hung := sortedKeys(g.Workers)[300:400]
-	for _, e := range hung {
-		g.Workers[e].Pause(40 * second)
-	}
-	g.RunUntil(185 * second)
-	back := 0
-	for _, e := range hung {
-		if wk := g.Workers[e]; wk != nil && wk.epoch > 0 && g.Now < wk.leaseStartedAt+c.Lease {
-			back++
+	paused := sortedKeys(fleet.Workers)[300:400]
+	for _, endpoint := range paused {
+		fleet.Workers[endpoint].Pause(40 * second)
+	}
+	fleet.RunUntil(185 * second)
+	reconnected := 0
+	for _, endpoint := range paused {
+		if worker := fleet.Workers[endpoint]; worker != nil && worker.epoch > 0 && fleet.Now < worker.leaseStartedAt+config.Lease {
+			reconnected++
 		}
 	}
-	if back < len(hung)*3/4 {
-		t.Errorf("of %d machines that hung for longer than their lease %d are back", len(hung), back)
+	if reconnected < len(paused)*3/4 {
+		t.Errorf("of %d machines that hung for longer than their lease %d are back", len(paused), reconnected)
 	}
-	g.RepeatFraction, g.LateReportCopyFraction = 0, 0
-	g.Checker.CheckKnown(75 * second)
-	g.RunUntil(262 * second)
-	g.Checker.CheckServed()
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.RepeatFraction, fleet.LateReportCopyFraction = 0, 0
+	fleet.Checker.CheckKnown(75 * second)
+	fleet.RunUntil(262 * second)
+	fleet.Checker.CheckServed()
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
-	if accepted, done := g.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
+	if accepted, done := fleet.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
 		t.Errorf("%d of %d jobs done at the end of the day", done, accepted)
 	}
 }
@@ -428,38 +430,38 @@
 }
 
 // measureFleetWork plays a minute of a fleet whose leader ends as jobs are cancelled.
-func measureFleetWork(t *testing.T, zone int) fleetWork {
-	g := newLargestDeployment(1, zone)
-	g.submitLoad(60 * second)
-	var elected, settled time.Duration
-	g.onLog("elected", func() { elected = g.Now })
-	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.RunUntil(20 * second)
-	puts := g.changesWritten
-	g.RunUntil(50 * second)
-	c := fleetWork{machines: g.machines, steadyChanges: float64(g.changesWritten - puts)}
-	puts, requests, directs := g.changesWritten, g.storeRequests, g.directCommands
-	g.cancelRunningJobs(10, 0)
-	g.Leader().Crash()
-	g.RunUntil(70 * second)
-	n := g.Leader()
-	if n == nil {
+func measureFleetWork(t *testing.T, machinesPerZone int) fleetWork {
+	fleet := newLargestDeployment(1, machinesPerZone)
+	fleet.submitLoad(60 * second)
+	var electedAt, settledAt time.Duration
+	fleet.onLog("elected", func() { electedAt = fleet.Now })
+	fleet.onLog("all machines accounted for", func() { settledAt = fleet.Now })
+	fleet.RunUntil(20 * second)
+	changes := fleet.changesWritten
+	fleet.RunUntil(50 * second)
+	work := fleetWork{machines: fleet.machines, steadyChanges: float64(fleet.changesWritten - changes)}
+	changes, requests, commands := fleet.changesWritten, fleet.storeRequests, fleet.directCommands
+	fleet.cancelRunningJobs(10, 0)
+	fleet.Leader().Crash()
+	fleet.RunUntil(70 * second)
+	leader := fleet.Leader()
+	if leader == nil {
 		t.Fatal("nobody leads")
 	}
-	c.takeoverChanges, c.takeoverRequestsPerSecond = float64(g.changesWritten-puts), float64(g.storeRequests-requests)/20
-	c.scansPerMachine = float64(n.State.MachinesScanned()) / float64(g.machines)
-	c.commandsPerMachine = float64(g.directCommands-directs) / float64(g.machines)
-	c.takeoverDuration, c.leastCancelMargin, c.leasesLost = settled-elected, g.Checker.LeastMargin, g.lostLeaseCount()
-	wk := g.Workers[sortedKeys(g.Workers)[zone]]
-	rep := wk.nextReport()
-	c.allocsPerReport = testing.AllocsPerRun(100, func() {
-		rep.Seq++
-		n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: rep})
+	work.takeoverChanges, work.takeoverRequestsPerSecond = float64(fleet.changesWritten-changes), float64(fleet.storeRequests-requests)/20
+	work.scansPerMachine = float64(leader.State.MachinesScanned()) / float64(fleet.machines)
+	work.commandsPerMachine = float64(fleet.directCommands-commands) / float64(fleet.machines)
+	work.takeoverDuration, work.leastCancelMargin, work.leasesLost = settledAt-electedAt, fleet.Checker.LeastMargin, fleet.lostLeaseCount()
+	worker := fleet.Workers[sortedKeys(fleet.Workers)[machinesPerZone]]
+	report := worker.nextReport()
+	work.allocsPerReport = testing.AllocsPerRun(100, func() {
+		report.Seq++
+		leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: report})
 	})
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
-	return c
+	return work
 }
 
 // TestWorkByFleetSize counts, at 500 to 4,000 machines with the same load, what may
@@ -470,53 +472,53 @@
 func TestWorkByFleetSize(t *testing.T) {
 	limits := largest(1).Config
 	var smallest fleetWork
-	for i, zone := range []int{167, 333, 667, 1334} {
-		c := measureFleetWork(t, zone)
-		t.Logf("%+v", c)
+	for i, machinesPerZone := range []int{167, 333, 667, 1334} {
+		work := measureFleetWork(t, machinesPerZone)
+		t.Logf("%+v", work)
 		if i == 0 {
-			smallest = c
+			smallest = work
 		}
-		if c.allocsPerReport > smallest.allocsPerReport+2 {
-			t.Errorf("%d machines: a report takes %.0f allocations, %.0f in the smallest fleet", c.machines, c.allocsPerReport, smallest.allocsPerReport)
+		if work.allocsPerReport > smallest.allocsPerReport+2 {
+			t.Errorf("%d machines: a report takes %.0f allocations, %.0f in the smallest fleet", work.machines, work.allocsPerReport, smallest.allocsPerReport)
 		}
-		if c.scansPerMachine > 6 || c.commandsPerMachine > 3 {
-			t.Errorf("%d machines: %.1f looks and %.1f commands a machine until a takeover is settled", c.machines, c.scansPerMachine, c.commandsPerMachine)
+		if work.scansPerMachine > 6 || work.commandsPerMachine > 3 {
+			t.Errorf("%d machines: %.1f looks and %.1f commands a machine until a takeover is settled", work.machines, work.scansPerMachine, work.commandsPerMachine)
 		}
-		if c.steadyChanges > 1.5*smallest.steadyChanges {
-			t.Errorf("%d machines: %.0f changes in 30 s, %.0f in the smallest fleet", c.machines, c.steadyChanges, smallest.steadyChanges)
+		if work.steadyChanges > 1.5*smallest.steadyChanges {
+			t.Errorf("%d machines: %.0f changes in 30 s, %.0f in the smallest fleet", work.machines, work.steadyChanges, smallest.steadyChanges)
 		}
-		if c.takeoverDuration <= 0 || c.takeoverDuration > limits.Lease/2 || c.leasesLost > 0 {
-			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", c.machines, c.takeoverDuration, c.leasesLost)
+		if work.takeoverDuration <= 0 || work.takeoverDuration > limits.Lease/2 || work.leasesLost > 0 {
+			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", work.machines, work.takeoverDuration, work.leasesLost)
 		}
-		if c.takeoverRequestsPerSecond > limits.StoreRPS/2 || c.takeoverChanges > 20*limits.StoreWriteRPS/2 {
-			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", c.machines, c.takeoverRequestsPerSecond, c.takeoverChanges)
+		if work.takeoverRequestsPerSecond > limits.StoreRPS/2 || work.takeoverChanges > 20*limits.StoreWriteRPS/2 {
+			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", work.machines, work.takeoverRequestsPerSecond, work.takeoverChanges)
 		}
-		if c.leastCancelMargin < limits.CancelWithin-limits.Lease {
-			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", c.machines, c.leastCancelMargin)
+		if work.leastCancelMargin < limits.CancelWithin-limits.Lease {
+			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", work.machines, work.leastCancelMargin)
 		}
 	}
 }
 
 // onLog calls f whenever a controller logs a text.
-func (g *grown) onLog(text string, f func()) {
-	before := g.Options.Tamper
-	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
+func (fleet *grown) onLog(text string, f func()) {
+	before := fleet.Options.Tamper
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
 		if l, ok := e.(core.Log); ok && l.Text == text {
 			f()
 		}
-		return before(w, n, e)
+		return before(sim, controller, e)
 	}
 }
 
 // onReturn calls f for each machine that a controller asks the cloud to take back.
-func (g *grown) onReturn(f func(host string)) {
-	before := g.Options.Tamper
-	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-		if c, ok := e.(core.CloudCall); ok && c.Op == core.CloudReturn {
-			for _, h := range c.Hosts {
-				f(h)
+func (fleet *grown) onReturn(f func(host string)) {
+	before := fleet.Options.Tamper
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+		if call, ok := e.(core.CloudCall); ok && call.Op == core.CloudReturn {
+			for _, host := range call.Hosts {
+				f(host)
 			}
 		}
-		return before(w, n, e)
+		return before(sim, controller, e)
 	}
 }
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -23,110 +23,114 @@
 }
 
 // durationBetween draws a time.
-func (d *randomScenario) durationBetween(from, to float64) time.Duration {
-	return time.Duration((from + d.Rand.Float64()*(to-from)) * float64(time.Second))
+func (scenario *randomScenario) durationBetween(from, to float64) time.Duration {
+	return time.Duration((from + scenario.Rand.Float64()*(to-from)) * float64(time.Second))
 }
 
 // recordDraw keeps what was drawn, for whoever reads a failure.
-func (d *randomScenario) recordDraw(format string, args ...any) {
-	d.drawnFaults = append(d.drawnFaults, fmt.Sprintf(format, args...))
+func (scenario *randomScenario) recordDraw(format string, args ...any) {
+	scenario.drawnFaults = append(scenario.drawnFaults, fmt.Sprintf(format, args...))
 }
 
 // applyToSomeMachines calls f at a time for a third of the machines, and undo a while later.
-func (d *randomScenario) applyToSomeMachines(from, length time.Duration, f, undo func(wk *Worker)) {
-	d.At(from, func() {
-		for _, h := range sortedKeys(d.Workers) {
-			if wk := d.Workers[h]; d.Rand.IntN(3) == 0 {
-				f(wk)
-				d.After(length, func() { undo(wk) })
+func (scenario *randomScenario) applyToSomeMachines(from, length time.Duration, f, undo func(worker *Worker)) {
+	scenario.At(from, func() {
+		for _, endpoint := range sortedKeys(scenario.Workers) {
+			if worker := scenario.Workers[endpoint]; scenario.Rand.IntN(3) == 0 {
+				f(worker)
+				scenario.After(length, func() { undo(worker) })
 			}
 		}
 	})
 }
 
 // crashLeaders ends n leaders one after the other.
-func (d *randomScenario) crashLeaders(from time.Duration, n int) {
+func (scenario *randomScenario) crashLeaders(from time.Duration, n int) {
 	for range n {
-		restart := d.durationBetween(0.2, 3)
-		d.At(from, func() { d.crashLeader(restart) })
-		from += d.durationBetween(3, 13)
+		restartDelay := scenario.durationBetween(0.2, 3)
+		scenario.At(from, func() { scenario.crashLeader(restartDelay) })
+		from += scenario.durationBetween(3, 13)
 	}
 }
 
 // randomFaults are those of which each day draws some.
 var randomFaults = []struct {
-	name  string
-	begin func(d *randomScenario, from, length time.Duration)
+	name   string
+	inject func(scenario *randomScenario, from, length time.Duration)
 }{
-	{"leaders end", func(d *randomScenario, from, _ time.Duration) { d.crashLeaders(from, 1+d.Rand.IntN(8)) }},
-	{"all controllers end", func(d *randomScenario, from, _ time.Duration) {
-		restart := d.durationBetween(0.2, 8)
-		d.At(from, func() {
-			for _, n := range d.Controllers {
-				n.CrashFor(restart)
+	{"leaders end", func(scenario *randomScenario, from, _ time.Duration) {
+		scenario.crashLeaders(from, 1+scenario.Rand.IntN(8))
+	}},
+	{"all controllers end", func(scenario *randomScenario, from, _ time.Duration) {
+		restartDelay := scenario.durationBetween(0.2, 8)
+		scenario.At(from, func() {
+			for _, controller := range scenario.Controllers {
+				controller.CrashFor(restartDelay)
 			}
 		})
 	}},
-	{"the leader stands still", func(d *randomScenario, from, _ time.Duration) {
-		for range 1 + d.Rand.IntN(4) {
-			length := d.durationBetween(2, 12)
-			d.At(from, func() {
-				if l := d.Leader(); l != nil {
-					l.Pause(length)
+	{"the leader stands still", func(scenario *randomScenario, from, _ time.Duration) {
+		for range 1 + scenario.Rand.IntN(4) {
+			length := scenario.durationBetween(2, 12)
+			scenario.At(from, func() {
+				if leader := scenario.Leader(); leader != nil {
+					leader.Pause(length)
 				}
 			})
-			from += d.durationBetween(6, 16)
+			from += scenario.durationBetween(6, 16)
 		}
 	}},
-	{"slow controllers", func(d *randomScenario, from, length time.Duration) {
-		work := d.durationBetween(0.001, 0.02)
-		for _, n := range d.Controllers {
-			d.At(from, func() { n.StepDuration = work })
-			d.At(from+length, func() { n.StepDuration = 0 })
+	{"slow controllers", func(scenario *randomScenario, from, length time.Duration) {
+		stepDuration := scenario.durationBetween(0.001, 0.02)
+		for _, controller := range scenario.Controllers {
+			scenario.At(from, func() { controller.StepDuration = stepDuration })
+			scenario.At(from+length, func() { controller.StepDuration = 0 })
 		}
 	}},
-	{"the leader is refused", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() { d.makeStoreUnavailableToLeader(length) })
+	{"the leader is refused", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.makeStoreUnavailableToLeader(length) })
 	}},
-	{"outage", func(d *randomScenario, from, length time.Duration) { d.outage(from, from+length) }},
-	{"the leader keeps only its workers", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() {
-			if l := d.Leader(); l != nil {
-				alone(d.Simulation, l, length)
+	{"outage", func(scenario *randomScenario, from, length time.Duration) { scenario.outage(from, from+length) }},
+	{"the leader keeps only its workers", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() {
+			if leader := scenario.Leader(); leader != nil {
+				alone(scenario.Simulation, leader, length)
 			}
 		})
 	}},
-	{"machines hang", func(d *randomScenario, from, length time.Duration) {
-		d.applyToSomeMachines(from, length, func(wk *Worker) {
-			if !wk.Paused {
-				wk.Pause(length)
+	{"machines hang", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) {
+			if !worker.Paused {
+				worker.Pause(length)
 			}
 		}, func(*Worker) {})
 	}},
-	{"deaf machines", func(d *randomScenario, from, length time.Duration) {
-		d.applyToSomeMachines(from, length, func(wk *Worker) { wk.CannotReceive = true }, func(wk *Worker) { wk.CannotReceive = false })
+	{"deaf machines", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { worker.CannotReceive = true }, func(worker *Worker) { worker.CannotReceive = false })
 	}},
-	{"mute machines", func(d *randomScenario, from, length time.Duration) {
-		d.applyToSomeMachines(from, length, func(wk *Worker) { wk.CannotReport = true }, func(wk *Worker) { wk.CannotReport = false })
+	{"mute machines", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { worker.CannotReport = true }, func(worker *Worker) { worker.CannotReport = false })
 	}},
-	{"machines cut off", func(d *randomScenario, from, length time.Duration) {
-		d.applyToSomeMachines(from, length, func(wk *Worker) { d.cutOff(wk, length, "hold") }, func(*Worker) {})
+	{"machines cut off", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { scenario.cutOff(worker, length, "hold") }, func(*Worker) {})
 	}},
-	{"the cloud is out", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() { d.Cloud.Unavailable = true })
-		d.At(from+length, func() { d.Cloud.Unavailable = false })
+	{"the cloud is out", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.Cloud.Unavailable = true })
+		scenario.At(from+length, func() { scenario.Cloud.Unavailable = false })
 	}},
-	{"late commands", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() { d.LateCommandFraction = 0.5 })
-		d.At(from+length, func() { d.LateCommandFraction = 0 })
+	{"late commands", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.LateCommandFraction = 0.5 })
+		scenario.At(from+length, func() { scenario.LateCommandFraction = 0 })
 	}},
-	{"late reports", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() { d.LateReportCopyFraction = 0.3 })
-		d.At(from+length, func() { d.LateReportCopyFraction = 0 })
+	{"late reports", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.LateReportCopyFraction = 0.3 })
+		scenario.At(from+length, func() { scenario.LateReportCopyFraction = 0 })
 	}},
-	{"late writes", func(d *randomScenario, from, length time.Duration) {
-		d.At(from, func() { d.Store.UnansweredFraction, d.Store.ApplyUnansweredAtOnce = 0.3, d.Rand.IntN(2) == 0 })
-		d.At(from+length, func() { d.Store.UnansweredFraction = 0 })
+	{"late writes", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() {
+			scenario.Store.UnansweredFraction, scenario.Store.ApplyUnansweredAtOnce = 0.3, scenario.Rand.IntN(2) == 0
+		})
+		scenario.At(from+length, func() { scenario.Store.UnansweredFraction = 0 })
 	}},
 }
 
@@ -134,32 +138,32 @@
 // their machines hang, and three troubles begin around that. On every third day the
 // leader changes ten times in two minutes while commands are late.
 func newRandomScenario(seed uint64) *randomScenario {
-	d := &randomScenario{grown: growTo(largest(seed), 20)}
-	d.Users.ProbesAllControllers = true
+	scenario := &randomScenario{grown: growTo(largest(seed), 20)}
+	scenario.Users.ProbesAllControllers = true
 	for i := range 24 {
-		j := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
-		j.Class = "long"
-		d.At(time.Duration(2+i)*second, func() { d.Users.Submit(j, 300*second) })
+		job := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
+		job.Class = "long"
+		scenario.At(time.Duration(2+i)*second, func() { scenario.Users.Submit(job, 300*second) })
 	}
-	hang := max(0, d.durationBetween(-25, 30))
-	d.recordDraw("cancelled at 60 s, machines hang for %v", hang)
-	d.At(60*second, func() { d.cancelRunningJobs(10, hang) })
-	again := 60*second + d.durationBetween(2, 20)
-	d.At(again, func() { d.cancelRunningJobs(6, 0) })
+	pauseFor := max(0, scenario.durationBetween(-25, 30))
+	scenario.recordDraw("cancelled at 60 s, machines hang for %v", pauseFor)
+	scenario.At(60*second, func() { scenario.cancelRunningJobs(10, pauseFor) })
+	secondCancelAt := 60*second + scenario.durationBetween(2, 20)
+	scenario.At(secondCancelAt, func() { scenario.cancelRunningJobs(6, 0) })
 	if seed%3 == 0 {
-		from := 60*second + d.durationBetween(-8, 3)
-		d.recordDraw("%v: ten changes, late commands", from)
-		d.crashLeaders(from, 10)
-		d.At(from, func() { d.LateCommandFraction = 0.5 })
-		d.At(from+120*second, func() { d.LateCommandFraction = 0 })
+		from := 60*second + scenario.durationBetween(-8, 3)
+		scenario.recordDraw("%v: ten changes, late commands", from)
+		scenario.crashLeaders(from, 10)
+		scenario.At(from, func() { scenario.LateCommandFraction = 0.5 })
+		scenario.At(from+120*second, func() { scenario.LateCommandFraction = 0 })
 	}
 	for range 3 {
-		trouble := randomFaults[d.Rand.IntN(len(randomFaults))]
-		from, length := d.durationBetween(50, 85), d.durationBetween(3, 45)
-		d.recordDraw("%v: %s for %v", from, trouble.name, length)
-		trouble.begin(d, from, length)
+		fault := randomFaults[scenario.Rand.IntN(len(randomFaults))]
+		from, length := scenario.durationBetween(50, 85), scenario.durationBetween(3, 45)
+		scenario.recordDraw("%v: %s for %v", from, fault.name, length)
+		fault.inject(scenario, from, length)
 	}
-	return d
+	return scenario
 }
 
 // randomRegressionSeeds are seeds whose days once broke a rule, and what it was.
@@ -173,30 +177,30 @@
 // cancelled, at the settings of the largest deployments, and tells how near they
 // came to breaking ran_cancelled.
 func TestRandomFaults(t *testing.T) {
-	played := sortedSeeds(randomRegressionSeeds)
+	seeds := sortedSeeds(randomRegressionSeeds)
 	for i := range *randomScenarioCount {
-		played = append(played, uint64(*firstRandomSeed+i))
+		seeds = append(seeds, uint64(*firstRandomSeed+i))
 	}
-	for _, seed := range played {
+	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := newRandomScenario(seed)
-			watchLeaders(d.Simulation)
-			d.RunUntil(180 * second)
-			for _, b := range d.Checker.Violations {
-				t.Errorf("%s (%s)", b, strings.Join(d.drawnFaults, "; "))
+			scenario := newRandomScenario(seed)
+			watchLeaders(scenario.Simulation)
+			scenario.RunUntil(180 * second)
+			for _, violation := range scenario.Checker.Violations {
+				t.Errorf("%s (%s)", violation, strings.Join(scenario.drawnFaults, "; "))
 			}
-			if randomRegressionSeeds[seed] != "" && d.Checker.CancelledTasksStopped == 0 {
+			if randomRegressionSeeds[seed] != "" && scenario.Checker.CancelledTasksStopped == 0 {
 				t.Error("no task of a cancelled job was seen to go")
 			}
-			t.Logf("margin %v, %d cancelled tasks", d.Checker.LeastMargin, d.Checker.CancelledTasksStopped)
+			t.Logf("margin %v, %d cancelled tasks", scenario.Checker.LeastMargin, scenario.Checker.CancelledTasksStopped)
 		})
 	}
 }
 
-func sortedSeeds(days map[uint64]string) []uint64 {
+func sortedSeeds(scenarios map[uint64]string) []uint64 {
 	var seeds []uint64
-	for seed := range days {
+	for seed := range scenarios {
 		seeds = append(seeds, seed)
 	}
 	slices.Sort(seeds)
--- a/internal/sim/service_test.go
+++ b/internal/sim/service_test.go
@@ -16,18 +16,18 @@
 
 // load submits a mixed day: services, batches and long low-priority work,
 // some of it cancelled.
-func load(w *Simulation, until time.Duration) {
-	rnd := rand.New(rand.NewPCG(w.Options.Seed, 99))
-	n := 0
-	submit := func(at time.Duration, j model.Job, run time.Duration) string {
-		n++
-		j.ID = fmt.Sprintf("req-%06d", n)
-		j.Team, j.Class = "t", j.Kind+j.Priority
-		if n%5 == 0 && j.Kind == model.KindBatch {
-			j.Team = "tight" // no services: they would fill its limit for ever
+func load(sim *Simulation, until time.Duration) {
+	rnd := rand.New(rand.NewPCG(sim.Options.Seed, 99))
+	jobCount := 0
+	submit := func(at time.Duration, job model.Job, runTime time.Duration) string {
+		jobCount++
+		job.ID = fmt.Sprintf("req-%06d", jobCount)
+		job.Team, job.Class = "t", job.Kind+job.Priority
+		if jobCount%5 == 0 && job.Kind == model.KindBatch {
+			job.Team = "tight" // no services: they would fill its limit for ever
 		}
-		w.At(at, func() { w.Users.Submit(j, run) })
-		return j.ID
+		sim.At(at, func() { sim.Users.Submit(job, runTime) })
+		return job.ID
 	}
 	for at := 2 * second; at < until; at += time.Duration(1+rnd.IntN(6)) * second {
 		var id string
@@ -43,370 +43,370 @@
 				Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageGB: 2, Spot: true, OneZone: rnd.IntN(6) == 0, EstimateS: 8}, 10*second)
 		}
 		if rnd.IntN(4) == 0 {
-			w.At(at+time.Duration(rnd.IntN(30))*second, func() {
-				if w.Checker.jobs[id].accepted {
-					w.Users.Cancel(id)
+			sim.At(at+time.Duration(rnd.IntN(30))*second, func() {
+				if sim.Checker.jobs[id].accepted {
+					sim.Users.Cancel(id)
 				}
 			})
 		}
-		w.At(at, func() { w.Users.PollUnknown(fmt.Sprintf("req-9%05d", rnd.IntN(1000))) })
+		sim.At(at, func() { sim.Users.PollUnknown(fmt.Sprintf("req-9%05d", rnd.IntN(1000))) })
 	}
 }
 
 // watchLeaders looks for two leaders at a time, all day.
-func watchLeaders(w *Simulation) {
-	var look func()
-	look = func() {
-		w.Leader()
-		w.After(10*time.Millisecond, look)
+func watchLeaders(sim *Simulation) {
+	var sample func()
+	sample = func() {
+		sim.Leader()
+		sim.After(10*time.Millisecond, sample)
 	}
-	look()
+	sample()
 }
 
 // The days: what the operators have seen, alone and together.
 var faultScenarios = []struct {
 	name   string
-	faults func(w *Simulation)
+	inject func(sim *Simulation)
 }{
-	{"quiet", func(w *Simulation) {}},
-	{"leader crashes again and again", func(w *Simulation) {
+	{"quiet", func(sim *Simulation) {}},
+	{"leader crashes again and again", func(sim *Simulation) {
 		for at := 30 * second; at < 150*second; at += 23 * second {
-			w.At(at, func() {
-				if n := w.Leader(); n != nil {
-					n.Crash()
+			sim.At(at, func() {
+				if leader := sim.Leader(); leader != nil {
+					leader.Crash()
 				}
 			})
 		}
 	}},
-	{"all crash while the state service is down", func(w *Simulation) {
-		w.At(40*second, func() { w.Store.Unavailable = true })
-		w.At(45*second, func() {
-			for _, n := range w.Controllers {
-				n.Crash()
+	{"all crash while the state service is down", func(sim *Simulation) {
+		sim.At(40*second, func() { sim.Store.Unavailable = true })
+		sim.At(45*second, func() {
+			for _, controller := range sim.Controllers {
+				controller.Crash()
 			}
 		})
-		w.At(70*second, w.Store.Recover)
+		sim.At(70*second, sim.Store.Recover)
 	}},
-	{"state outage longer than the lease", func(w *Simulation) {
-		w.At(40*second, func() { w.Store.Unavailable = true })
-		w.At(70*second, w.Store.Recover)
+	{"state outage longer than the lease", func(sim *Simulation) {
+		sim.At(40*second, func() { sim.Store.Unavailable = true })
+		sim.At(70*second, sim.Store.Recover)
 	}},
-	{"leader refused by the state service alone", func(w *Simulation) {
-		w.At(40*second, func() {
-			n := w.Leader()
-			w.Store.UnavailableTo[n.Name] = true
-			w.At(80*second, func() { delete(w.Store.UnavailableTo, n.Name) })
+	{"leader refused by the state service alone", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			leader := sim.Leader()
+			sim.Store.UnavailableTo[leader.Name] = true
+			sim.At(80*second, func() { delete(sim.Store.UnavailableTo, leader.Name) })
 		})
 	}},
-	{"leader cut from the state service, packets held", func(w *Simulation) {
-		w.At(40*second, func() {
-			n := w.Leader()
-			w.Cut(n.Name, "state", "hold")
-			w.At(90*second, func() { w.Heal(n.Name, "state") })
+	{"leader cut from the state service, packets held", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			leader := sim.Leader()
+			sim.Cut(leader.Name, "state", "hold")
+			sim.At(90*second, func() { sim.Heal(leader.Name, "state") })
 		})
 	}},
-	{"leader cut from all, packets held for minutes", func(w *Simulation) {
-		w.At(40*second, func() {
-			n := w.Leader()
+	{"leader cut from all, packets held for minutes", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			leader := sim.Leader()
 			hosts := []string{"state", "cloud", "users"}
-			for _, o := range w.Controllers {
-				hosts = append(hosts, o.Name)
+			for _, other := range sim.Controllers {
+				hosts = append(hosts, other.Name)
 			}
-			hosts = append(hosts, sortedKeys(w.Workers)...)
-			for _, h := range hosts {
-				w.Cut(n.Name, h, "hold")
+			hosts = append(hosts, sortedKeys(sim.Workers)...)
+			for _, host := range hosts {
+				sim.Cut(leader.Name, host, "hold")
 			}
-			w.At(130*second, func() {
-				for _, h := range hosts {
-					w.Heal(n.Name, h)
+			sim.At(130*second, func() {
+				for _, host := range hosts {
+					sim.Heal(leader.Name, host)
 				}
 			})
 		})
 	}},
-	{"leader cut from the workers alone", func(w *Simulation) {
-		w.At(40*second, func() {
-			n := w.Leader()
-			hosts := sortedKeys(w.Workers)
-			for _, h := range hosts {
-				w.Cut(n.Name, h, "drop")
+	{"leader cut from the workers alone", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			leader := sim.Leader()
+			endpoints := sortedKeys(sim.Workers)
+			for _, endpoint := range endpoints {
+				sim.Cut(leader.Name, endpoint, "drop")
 			}
-			w.At(80*second, func() {
-				for _, h := range hosts {
-					w.Heal(n.Name, h)
+			sim.At(80*second, func() {
+				for _, endpoint := range endpoints {
+					sim.Heal(leader.Name, endpoint)
 				}
 			})
 		})
 	}},
-	{"leader cut from the workers, and its successor crashes", func(w *Simulation) {
-		w.At(40*second, func() {
-			n := w.Leader()
-			cut := map[string]bool{}
+	{"leader cut from the workers, and its successor crashes", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			leader := sim.Leader()
+			cutEndpoints := map[string]bool{}
 			for i := 1; i <= 60; i++ { // machines that come up later are cut off too
-				h := fmt.Sprintf("wn-%06d", i)
-				w.Cut(n.Name, h, "hold")
-				cut[h] = true
+				endpoint := fmt.Sprintf("wn-%06d", i)
+				sim.Cut(leader.Name, endpoint, "hold")
+				cutEndpoints[endpoint] = true
 			}
-			w.At(70*second, func() {
-				if l := w.Leader(); l != nil {
-					l.Crash()
+			sim.At(70*second, func() {
+				if leader := sim.Leader(); leader != nil {
+					leader.Crash()
 				}
 			})
-			w.At(74*second, func() {
-				if w.Leader() == n {
-					w.Checker.reportViolation("cut_leader", "%s leads again, still cut from the workers", n.Name)
+			sim.At(74*second, func() {
+				if sim.Leader() == leader {
+					sim.Checker.reportViolation("cut_leader", "%s leads again, still cut from the workers", leader.Name)
 				}
 			})
-			w.At(101*second, func() {
-				for _, h := range sortedKeys(cut) {
-					w.Heal(n.Name, h)
+			sim.At(101*second, func() {
+				for _, endpoint := range sortedKeys(cutEndpoints) {
+					sim.Heal(leader.Name, endpoint)
 				}
 			})
 		})
 	}},
-	{"restarts inside an election", func(w *Simulation) {
-		w.At(40*second, func() { w.Leader().Crash() })
+	{"restarts inside an election", func(sim *Simulation) {
+		sim.At(40*second, func() { sim.Leader().Crash() })
 		for i := 0; i < 12; i++ {
-			w.At(42*second+time.Duration(i)*700*time.Millisecond, func() { w.Controllers[i%len(w.Controllers)].Crash() })
+			sim.At(42*second+time.Duration(i)*700*time.Millisecond, func() { sim.Controllers[i%len(sim.Controllers)].Crash() })
 		}
 	}},
-	{"machines hang, go on later, and commands come late", func(w *Simulation) {
+	{"machines hang, go on later, and commands come late", func(sim *Simulation) {
 		for at := 30 * second; at < 140*second; at += 9 * second {
-			w.At(at, func() {
-				keys := sortedKeys(w.Workers)
+			sim.At(at, func() {
+				keys := sortedKeys(sim.Workers)
 				if len(keys) > 0 {
-					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(4+w.Rand.IntN(14)) * second)
+					sim.Workers[keys[sim.Rand.IntN(len(keys))]].Pause(time.Duration(4+sim.Rand.IntN(14)) * second)
 				}
 			})
 		}
 	}},
-	{"machines taken without notice", func(w *Simulation) {
+	{"machines taken without notice", func(sim *Simulation) {
 		for at := 30 * second; at < 140*second; at += 11 * second {
-			w.At(at, func() {
-				keys := sortedKeys(w.Cloud.machines)
+			sim.At(at, func() {
+				keys := sortedKeys(sim.Cloud.machines)
 				if len(keys) > 0 {
-					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
+					sim.Cloud.RemoveMachine(keys[sim.Rand.IntN(len(keys))])
 				}
 			})
 		}
 	}},
-	{"transactions applied twice, the second late", func(w *Simulation) {
-		w.Store.ReplayDelay = 9 * second
-		w.At(60*second, func() { w.Leader().Crash() })
+	{"transactions applied twice, the second late", func(sim *Simulation) {
+		sim.Store.ReplayDelay = 9 * second
+		sim.At(60*second, func() { sim.Leader().Crash() })
 	}},
-	{"machines out of earshot", func(w *Simulation) {
+	{"machines out of earshot", func(sim *Simulation) {
 		for at := 30 * second; at < 140*second; at += 19 * second {
-			w.At(at, func() { makeMachineUnreachable(w, time.Duration(8+w.Rand.IntN(30))*second) })
+			sim.At(at, func() { makeMachineUnreachable(sim, time.Duration(8+sim.Rand.IntN(30))*second) })
 		}
 		// A new leader must not wait for a deaf machine for ever.
-		w.At(70*second, func() { makeMachineUnreachable(w, 100*second) })
-		w.At(75*second, func() {
-			if l := w.Leader(); l != nil {
-				l.Crash()
+		sim.At(70*second, func() { makeMachineUnreachable(sim, 100*second) })
+		sim.At(75*second, func() {
+			if leader := sim.Leader(); leader != nil {
+				leader.Crash()
 			}
 		})
 	}},
-	{"answers lost again and again, then a machine cut off", func(w *Simulation) {
+	{"answers lost again and again, then a machine cut off", func(sim *Simulation) {
 		for at := 30 * second; at < 150*second; at += 7 * second {
-			w.At(at, func() {
-				keys := sortedKeys(w.Workers)
+			sim.At(at, func() {
+				keys := sortedKeys(sim.Workers)
 				if len(keys) == 0 {
 					return
 				}
-				wk := w.Workers[keys[w.Rand.IntN(len(keys))]]
-				wk.ReportAnswersLost = true
-				w.After(time.Duration(9000+w.Rand.IntN(3000))*time.Millisecond, func() {
-					wk.ReportAnswersLost = false
-					if w.Rand.IntN(2) == 0 {
-						for _, n := range w.Controllers {
-							w.Cut(n.Name, wk.info.Endpoint, "drop")
-							w.After(15*second, func() { w.Heal(n.Name, wk.info.Endpoint) })
+				worker := sim.Workers[keys[sim.Rand.IntN(len(keys))]]
+				worker.ReportAnswersLost = true
+				sim.After(time.Duration(9000+sim.Rand.IntN(3000))*time.Millisecond, func() {
+					worker.ReportAnswersLost = false
+					if sim.Rand.IntN(2) == 0 {
+						for _, controller := range sim.Controllers {
+							sim.Cut(controller.Name, worker.info.Endpoint, "drop")
+							sim.After(15*second, func() { sim.Heal(controller.Name, worker.info.Endpoint) })
 						}
 					}
 				})
 			})
 		}
 	}},
-	{"late copies of reports", func(w *Simulation) {
-		w.LateReportCopyFraction = 0.3
+	{"late copies of reports", func(sim *Simulation) {
+		sim.LateReportCopyFraction = 0.3
 		for at := 40 * second; at < 150*second; at += 31 * second {
-			w.At(at, func() {
-				if n := w.Leader(); n != nil {
-					n.Crash()
+			sim.At(at, func() {
+				if leader := sim.Leader(); leader != nil {
+					leader.Crash()
 				}
 			})
-			w.At(at+11*second, func() {
-				if keys := sortedKeys(w.Cloud.machines); len(keys) > 0 {
-					w.Cloud.RemoveMachine(keys[w.Rand.IntN(len(keys))])
+			sim.At(at+11*second, func() {
+				if keys := sortedKeys(sim.Cloud.machines); len(keys) > 0 {
+					sim.Cloud.RemoveMachine(keys[sim.Rand.IntN(len(keys))])
 				}
 			})
 		}
-		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
+		sim.At(160*second, func() { sim.LateReportCopyFraction = 0 })
 	}},
-	{"requests carried out come again", func(w *Simulation) {
-		w.LateReportCopyFraction, w.RepeatFraction = 0.2, 0.4
+	{"requests carried out come again", func(sim *Simulation) {
+		sim.LateReportCopyFraction, sim.RepeatFraction = 0.2, 0.4
 		for at := 40 * second; at < 150*second; at += 17 * second {
-			w.At(at, func() {
-				if n := w.Leader(); n != nil && w.Rand.IntN(2) == 0 {
-					n.CrashFor(time.Duration(50+w.Rand.IntN(3000)) * time.Millisecond)
+			sim.At(at, func() {
+				if leader := sim.Leader(); leader != nil && sim.Rand.IntN(2) == 0 {
+					leader.CrashFor(time.Duration(50+sim.Rand.IntN(3000)) * time.Millisecond)
 				}
-				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(2+w.Rand.IntN(12)) * time.Second)
+				if keys := sortedKeys(sim.Workers); len(keys) > 0 {
+					sim.Workers[keys[sim.Rand.IntN(len(keys))]].Pause(time.Duration(2+sim.Rand.IntN(12)) * time.Second)
 				}
 			})
 		}
-		w.At(200*second, func() { w.LateReportCopyFraction, w.RepeatFraction = 0, 0 })
+		sim.At(200*second, func() { sim.LateReportCopyFraction, sim.RepeatFraction = 0, 0 })
 	}},
-	{"the leader stands still, and clocks run on", func(w *Simulation) {
-		w.LateReportCopyFraction, w.RepeatFraction = 0.1, 0.1
+	{"the leader stands still, and clocks run on", func(sim *Simulation) {
+		sim.LateReportCopyFraction, sim.RepeatFraction = 0.1, 0.1
 		for i, at := range []time.Duration{35, 70, 105, 140} {
-			w.At(at*second+time.Duration(w.Rand.IntN(2000))*time.Millisecond, func() {
-				l := w.Leader()
-				if l == nil {
+			sim.At(at*second+time.Duration(sim.Rand.IntN(2000))*time.Millisecond, func() {
+				leader := sim.Leader()
+				if leader == nil {
 					return
 				}
-				l.Pause(time.Duration(1+w.Rand.IntN(24)) * second)
+				leader.Pause(time.Duration(1+sim.Rand.IntN(24)) * second)
 				if i%2 == 1 { // and so does, for a moment, whoever would succeed
-					o := w.Controllers[w.Rand.IntN(len(w.Controllers))]
-					w.After(second, func() { o.Pause(time.Duration(500+w.Rand.IntN(4000)) * time.Millisecond) })
+					other := sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
+					sim.After(second, func() { other.Pause(time.Duration(500+sim.Rand.IntN(4000)) * time.Millisecond) })
 				}
-				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(2+w.Rand.IntN(12)) * second)
+				if keys := sortedKeys(sim.Workers); len(keys) > 0 {
+					sim.Workers[keys[sim.Rand.IntN(len(keys))]].Pause(time.Duration(2+sim.Rand.IntN(12)) * second)
 				}
 			})
 		}
-		w.At(200*second, func() { w.LateReportCopyFraction, w.RepeatFraction = 0, 0 })
+		sim.At(200*second, func() { sim.LateReportCopyFraction, sim.RepeatFraction = 0, 0 })
 	}},
-	{"a controller keeps only its workers", func(w *Simulation) {
+	{"a controller keeps only its workers", func(sim *Simulation) {
 		for i, at := range []time.Duration{40, 75, 110} {
-			w.At(at*second, func() {
-				n := w.Controllers[i%len(w.Controllers)]
-				if l := w.Leader(); i != 1 && l != nil {
-					n = l
+			sim.At(at*second, func() {
+				controller := sim.Controllers[i%len(sim.Controllers)]
+				if leader := sim.Leader(); i != 1 && leader != nil {
+					controller = leader
 				}
-				alone(w, n, 20*second)
+				alone(sim, controller, 20*second)
 			})
 		}
 	}},
-	{"workers begin anew, with late copies of their former lives", func(w *Simulation) {
-		w.LateReportCopyFraction = 0.3
+	{"workers begin anew, with late copies of their former lives", func(sim *Simulation) {
+		sim.LateReportCopyFraction = 0.3
 		for at := 30 * second; at < 140*second; at += 7 * second {
-			w.At(at, func() {
-				if keys := sortedKeys(w.Workers); len(keys) > 0 {
-					w.Workers[keys[w.Rand.IntN(len(keys))]].Restart()
+			sim.At(at, func() {
+				if keys := sortedKeys(sim.Workers); len(keys) > 0 {
+					sim.Workers[keys[sim.Rand.IntN(len(keys))]].Restart()
 				}
 			})
 		}
-		w.At(90*second, func() { w.Controllers[0].CrashFor(300 * time.Millisecond) })
-		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
+		sim.At(90*second, func() { sim.Controllers[0].CrashFor(300 * time.Millisecond) })
+		sim.At(160*second, func() { sim.LateReportCopyFraction = 0 })
 	}},
-	{"controllers back within a moment, also inside elections", func(w *Simulation) {
+	{"controllers back within a moment, also inside elections", func(sim *Simulation) {
 		for at := 30 * second; at < 140*second; at += 9 * second {
-			w.At(at, func() {
-				n := w.Controllers[w.Rand.IntN(len(w.Controllers))]
-				if l := w.Leader(); l != nil && w.Rand.IntN(3) > 0 {
-					n = l
+			sim.At(at, func() {
+				controller := sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
+				if leader := sim.Leader(); leader != nil && sim.Rand.IntN(3) > 0 {
+					controller = leader
 				}
-				n.CrashFor(time.Duration(50+w.Rand.IntN(500)) * time.Millisecond)
-				o := w.Controllers[w.Rand.IntN(len(w.Controllers))]
-				w.After(time.Duration(w.Rand.IntN(900))*time.Millisecond, func() { o.CrashFor(100 * time.Millisecond) })
-				w.After(time.Second, func() { n.CrashFor(200 * time.Millisecond) })
+				controller.CrashFor(time.Duration(50+sim.Rand.IntN(500)) * time.Millisecond)
+				other := sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
+				sim.After(time.Duration(sim.Rand.IntN(900))*time.Millisecond, func() { other.CrashFor(100 * time.Millisecond) })
+				sim.After(time.Second, func() { controller.CrashFor(200 * time.Millisecond) })
 			})
 		}
 	}},
-	{"a zone cut off, then the leader crashes", func(w *Simulation) {
-		w.At(50*second, func() { cutZone(w, "a", 60*second, "hold") })
-		w.At(58*second, func() { w.Controllers[1].Crash() })
-		w.At(64*second, func() {
-			if l := w.Leader(); l != nil {
-				l.Crash()
+	{"a zone cut off, then the leader crashes", func(sim *Simulation) {
+		sim.At(50*second, func() { cutZone(sim, "a", 60*second, "hold") })
+		sim.At(58*second, func() { sim.Controllers[1].Crash() })
+		sim.At(64*second, func() {
+			if leader := sim.Leader(); leader != nil {
+				leader.Crash()
 			}
 		})
-		w.At(130*second, func() { cutZone(w, "b", 15*second, "drop") })
+		sim.At(130*second, func() { cutZone(sim, "b", 15*second, "drop") })
 	}},
-	{"controllers refuse one another", func(w *Simulation) {
-		w.At(40*second, func() {
-			for _, a := range w.Controllers {
-				for _, b := range w.Controllers {
+	{"controllers refuse one another", func(sim *Simulation) {
+		sim.At(40*second, func() {
+			for _, a := range sim.Controllers {
+				for _, b := range sim.Controllers {
 					if a != b {
-						w.Cut(a.Name, b.Name, "drop")
+						sim.Cut(a.Name, b.Name, "drop")
 					}
 				}
 			}
 		})
-		w.At(50*second, func() {
-			if l := w.Leader(); l != nil {
-				l.CrashFor(200 * time.Millisecond)
+		sim.At(50*second, func() {
+			if leader := sim.Leader(); leader != nil {
+				leader.CrashFor(200 * time.Millisecond)
 			}
 		})
-		w.At(85*second, func() {
-			for _, a := range w.Controllers {
-				for _, b := range w.Controllers {
+		sim.At(85*second, func() {
+			for _, a := range sim.Controllers {
+				for _, b := range sim.Controllers {
 					if a != b {
-						w.Heal(a.Name, b.Name)
+						sim.Heal(a.Name, b.Name)
 					}
 				}
 			}
 		})
 	}},
-	{"everything new together", func(w *Simulation) {
-		w.LateReportCopyFraction = 0.2
+	{"everything new together", func(sim *Simulation) {
+		sim.LateReportCopyFraction = 0.2
 		for at := 30 * second; at < 150*second; at += 11 * second {
-			w.At(at, func() {
-				a, b := w.Controllers[w.Rand.IntN(3)], w.Controllers[w.Rand.IntN(3)]
-				switch w.Rand.IntN(8) {
+			sim.At(at, func() {
+				a, b := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
+				switch sim.Rand.IntN(8) {
 				case 0:
-					a.CrashFor(time.Duration(50+w.Rand.IntN(3000)) * time.Millisecond)
-					w.After(700*time.Millisecond, func() { b.CrashFor(150 * time.Millisecond) })
+					a.CrashFor(time.Duration(50+sim.Rand.IntN(3000)) * time.Millisecond)
+					sim.After(700*time.Millisecond, func() { b.CrashFor(150 * time.Millisecond) })
 				case 1:
-					alone(w, a, 14*second)
+					alone(sim, a, 14*second)
 				case 2:
-					makeMachineUnreachable(w, 25*second)
+					makeMachineUnreachable(sim, 25*second)
 				case 3:
-					cutZone(w, w.Options.Zones[w.Rand.IntN(3)], 25*second, "hold")
+					cutZone(sim, sim.Options.Zones[sim.Rand.IntN(3)], 25*second, "hold")
 				case 4:
-					if keys := sortedKeys(w.Workers); len(keys) > 0 {
-						w.Workers[keys[w.Rand.IntN(len(keys))]].Restart()
+					if keys := sortedKeys(sim.Workers); len(keys) > 0 {
+						sim.Workers[keys[sim.Rand.IntN(len(keys))]].Restart()
 					}
 				case 5:
-					w.Store.Unavailable = true
-					w.After(12*second, w.Store.Recover)
+					sim.Store.Unavailable = true
+					sim.After(12*second, sim.Store.Recover)
 				case 6:
-					w.Cut(a.Name, b.Name, "hold")
-					w.After(20*second, func() { w.Heal(a.Name, b.Name) })
+					sim.Cut(a.Name, b.Name, "hold")
+					sim.After(20*second, func() { sim.Heal(a.Name, b.Name) })
 				case 7:
-					if keys := sortedKeys(w.Workers); len(keys) > 0 {
-						w.Workers[keys[w.Rand.IntN(len(keys))]].Pause(time.Duration(4+w.Rand.IntN(14)) * second)
+					if keys := sortedKeys(sim.Workers); len(keys) > 0 {
+						sim.Workers[keys[sim.Rand.IntN(len(keys))]].Pause(time.Duration(4+sim.Rand.IntN(14)) * second)
 					}
 				}
 			})
 		}
-		w.At(160*second, func() { w.LateReportCopyFraction = 0 })
+		sim.At(160*second, func() { sim.LateReportCopyFraction = 0 })
 	}},
-	{"all together", func(w *Simulation) {
+	{"all together", func(sim *Simulation) {
 		for at := 30 * second; at < 150*second; at += 13 * second {
-			w.At(at, func() {
-				a, b := w.Controllers[w.Rand.IntN(3)], w.Controllers[w.Rand.IntN(3)]
-				switch w.Rand.IntN(6) {
+			sim.At(at, func() {
+				a, b := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
+				switch sim.Rand.IntN(6) {
 				case 0:
 					a.Crash()
 				case 1:
-					w.Cut(a.Name, "state", "hold")
-					w.After(15*second, func() { w.Heal(a.Name, "state") })
+					sim.Cut(a.Name, "state", "hold")
+					sim.After(15*second, func() { sim.Heal(a.Name, "state") })
 				case 2:
-					w.Cut(a.Name, b.Name, "hold")
-					w.After(20*second, func() { w.Heal(a.Name, b.Name) })
+					sim.Cut(a.Name, b.Name, "hold")
+					sim.After(20*second, func() { sim.Heal(a.Name, b.Name) })
 				case 3:
-					w.Store.Unavailable = true
-					w.After(12*second, w.Store.Recover)
+					sim.Store.Unavailable = true
+					sim.After(12*second, sim.Store.Recover)
 				case 4:
-					for _, h := range sortedKeys(w.Workers) {
-						w.Cut(a.Name, h, "hold")
-						w.After(18*second, func() { w.Heal(a.Name, h) })
+					for _, endpoint := range sortedKeys(sim.Workers) {
+						sim.Cut(a.Name, endpoint, "hold")
+						sim.After(18*second, func() { sim.Heal(a.Name, endpoint) })
 					}
 				case 5:
-					for i, h := range sortedKeys(w.Workers) {
+					for i, endpoint := range sortedKeys(sim.Workers) {
 						if i%3 == 0 {
-							w.Workers[h].Pause(12 * second)
+							sim.Workers[endpoint].Pause(12 * second)
 						}
 					}
 				}
@@ -416,64 +416,64 @@
 }
 
 // makeMachineUnreachable puts one machine out of earshot for d.
-func makeMachineUnreachable(w *Simulation, d time.Duration) {
-	keys := sortedKeys(w.Workers)
+func makeMachineUnreachable(sim *Simulation, duration time.Duration) {
+	keys := sortedKeys(sim.Workers)
 	if len(keys) == 0 {
 		return
 	}
-	wk := w.Workers[keys[w.Rand.IntN(len(keys))]]
-	w.tracef("machine %s is deaf", wk.info.Host)
-	wk.CannotReceive, wk.ReportAnswersLost = true, w.Rand.IntN(2) == 0
-	w.After(d, func() { wk.CannotReceive, wk.ReportAnswersLost = false, false })
+	worker := sim.Workers[keys[sim.Rand.IntN(len(keys))]]
+	sim.tracef("machine %s is deaf", worker.info.Host)
+	worker.CannotReceive, worker.ReportAnswersLost = true, sim.Rand.IntN(2) == 0
+	sim.After(duration, func() { worker.CannotReceive, worker.ReportAnswersLost = false, false })
 }
 
 // alone cuts a controller from the state service and the others for d, but not
 // from the workers and users.
-func alone(w *Simulation, n *Controller, d time.Duration) {
+func alone(sim *Simulation, controller *Controller, duration time.Duration) {
 	hosts := []string{"state"}
-	for _, o := range w.Controllers {
-		if o != n {
-			hosts = append(hosts, o.Name)
+	for _, other := range sim.Controllers {
+		if other != controller {
+			hosts = append(hosts, other.Name)
 		}
 	}
-	for _, h := range hosts {
-		w.Cut(n.Name, h, "hold")
+	for _, host := range hosts {
+		sim.Cut(controller.Name, host, "hold")
 	}
-	w.After(d, func() {
-		for _, h := range hosts {
-			w.Heal(n.Name, h)
+	sim.After(duration, func() {
+		for _, host := range hosts {
+			sim.Heal(controller.Name, host)
 		}
 	})
 }
 
 // cutZone cuts a zone's machines and its controller from everything outside;
 // inside, the network works.
-func cutZone(w *Simulation, zone string, d time.Duration, mode string) {
-	in := map[string]bool{}
-	out := map[string]bool{"state": true, "cloud": true, "users": true}
-	for i, n := range w.Controllers {
-		if w.Options.Zones[i%len(w.Options.Zones)] == zone {
-			in[n.Name] = true
+func cutZone(sim *Simulation, zone string, duration time.Duration, mode string) {
+	inside := map[string]bool{}
+	outside := map[string]bool{"state": true, "cloud": true, "users": true}
+	for i, controller := range sim.Controllers {
+		if sim.Options.Zones[i%len(sim.Options.Zones)] == zone {
+			inside[controller.Name] = true
 		} else {
-			out[n.Name] = true
+			outside[controller.Name] = true
 		}
 	}
-	for _, e := range sortedKeys(w.Workers) {
-		if w.Workers[e].info.Zone == zone {
-			in[e] = true
+	for _, endpoint := range sortedKeys(sim.Workers) {
+		if sim.Workers[endpoint].info.Zone == zone {
+			inside[endpoint] = true
 		} else {
-			out[e] = true
+			outside[endpoint] = true
 		}
 	}
-	for _, a := range sortedKeys(in) {
-		for _, b := range sortedKeys(out) {
-			w.Cut(a, b, mode)
+	for _, a := range sortedKeys(inside) {
+		for _, b := range sortedKeys(outside) {
+			sim.Cut(a, b, mode)
 		}
 	}
-	w.After(d, func() {
-		for _, a := range sortedKeys(in) {
-			for _, b := range sortedKeys(out) {
-				w.Heal(a, b)
+	sim.After(duration, func() {
+		for _, a := range sortedKeys(inside) {
+			for _, b := range sortedKeys(outside) {
+				sim.Heal(a, b)
 			}
 		}
 	})
@@ -491,32 +491,32 @@
 
 // TestFaultScenarios plays whole days with each kind of trouble and checks every rule.
 func TestFaultScenarios(t *testing.T) {
-	for _, day := range faultScenarios {
-		t.Run(day.name, func(t *testing.T) {
+	for _, scenario := range faultScenarios {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			var list []uint64
+			var seeds []uint64
 			for seed := range *seedCount {
-				list = append(list, uint64(seed+1))
+				seeds = append(seeds, uint64(seed+1))
 			}
-			for _, seed := range append(list, regressionSeeds[day.name]...) {
+			for _, seed := range append(seeds, regressionSeeds[scenario.name]...) {
 				opt := DefaultOptions(seed)
 				opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
-				w := New(opt)
-				load(w, 150*second)
-				watchLeaders(w)
-				day.faults(w)
-				w.RunUntil(250 * second)
-				w.Checker.CheckKnown(75 * second)
-				w.RunUntil(330 * second)
-				w.Checker.CheckServed()
-				for _, b := range w.Checker.Violations {
-					t.Errorf("seed %d: %s", seed, b)
+				sim := New(opt)
+				load(sim, 150*second)
+				watchLeaders(sim)
+				scenario.inject(sim)
+				sim.RunUntil(250 * second)
+				sim.Checker.CheckKnown(75 * second)
+				sim.RunUntil(330 * second)
+				sim.Checker.CheckServed()
+				for _, violation := range sim.Checker.Violations {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
-				accepted, done := w.Checker.CountBatchJobs()
+				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted < 10 || done < accepted {
 					t.Errorf("seed %d: %d of %d jobs done at the end of the day", seed, done, accepted)
 				}
-				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, w.Checker.TaskStarts, done, accepted)
+				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, sim.Checker.TaskStarts, done, accepted)
 			}
 		})
 	}
