--- a/internal/sim/gap_test.go
+++ b/internal/sim/gap_test.go
@@ -6,43 +6,46 @@
 	"time"
 )
 
-// cancelVisibilityFaults are the ways in which a confirmed cancellation can miss the leader: the
-// state service refuses it alone, others confirm, and then it is out for all.
-// Each adds its own trouble at the moment of the confirmations.
+// cancelVisibilityFaults are ways in which a leader can miss a cancellation that was
+// confirmed to a user. In each case the state service refuses only the leader, other
+// controllers confirm cancellations, and then the state service is out for all
+// controllers. Each case adds a fault of its own as the state service begins to
+// refuse the leader.
 var cancelVisibilityFaults = []struct {
 	name string
-	// more is called as the state service begins to refuse the leader, with the
-	// two others.
+	// inject is called as the state service begins to refuse the leader. The
+	// confirmer and the third controller are the two followers; users cancel jobs
+	// through both.
 	inject func(sim *Simulation, leader, confirmer, third *Controller)
 }{
-	{"nothing more", func(sim *Simulation, leader, confirmer, third *Controller) {}},
-	{"the leader can't reach the one that confirms", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"no further fault", func(sim *Simulation, leader, confirmer, third *Controller) {}},
+	{"the confirmer is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.Cut(third.Name, confirmer.Name, "drop")
 	}},
-	{"what the others say is held up on its way to the leader", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"messages of the confirmer to the leader are delayed by 45 s", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.link(confirmer.Name, leader.Name).mode = "hold"
 		sim.After(45*second, func() { sim.Heal(confirmer.Name, leader.Name) })
 	}},
-	{"what the leader says doesn't reach the one that confirms", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"messages of the leader to the confirmer are lost", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.link(leader.Name, confirmer.Name).mode = "drop"
 	}},
-	{"only one confirms, cut from both others", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Store.UnavailableTo[third.Name] = true
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.Cut(third.Name, confirmer.Name, "drop")
 		sim.After(12*second, func() { delete(sim.Store.UnavailableTo, third.Name) })
 	}},
-	{"only one confirms, ends, and is back at once", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and it crashes and restarts at once", func(sim *Simulation, leader, confirmer, third *Controller) {
 		isolateAndCrashConfirmer(sim, leader, confirmer, third, 300*time.Millisecond)
 	}},
-	{"only one confirms, ends, and is back later", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and it crashes and restarts after 8 s", func(sim *Simulation, leader, confirmer, third *Controller) {
 		isolateAndCrashConfirmer(sim, leader, confirmer, third, 8*second)
 	}},
-	{"the leader ends", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the leader crashes and restarts at once", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.After(2500*time.Millisecond, func() { leader.CrashFor(300 * time.Millisecond) })
 	}},
-	{"machines hang or are deaf", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"some machines pause, and controllers can't reach others", func(sim *Simulation, leader, confirmer, third *Controller) {
 		for i, endpoint := range sortedKeys(sim.Workers) {
 			worker := sim.Workers[endpoint]
 			switch i % 4 {
@@ -54,19 +57,19 @@
 			}
 		}
 	}},
-	{"the answers to the cancelling transactions are lost", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the replies to the cancelling transactions are lost", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.link("state", confirmer.Name).mode = "drop"
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.Cut(leader.Name, third.Name, "drop")
 		sim.After(2*second, func() { sim.Heal("state", confirmer.Name); sim.Heal(leader.Name, confirmer.Name) })
 	}},
-	{"the first word to the leader is lost, and it gets a read lease", func(sim *Simulation, leader, confirmer, third *Controller) {
-		sim.Users.StopsPollingAtEnd = true // asked again, the others would tell the leader again
+	{"the first messages to the leader are lost, and it gets a read lease", func(sim *Simulation, leader, confirmer, third *Controller) {
+		sim.Users.StopsPollingAtEnd = true // with each further poll the followers would notify the leader again
 		sim.link(confirmer.Name, leader.Name).mode = "drop"
 		sim.link(third.Name, leader.Name).mode = "drop"
 		sim.After(900*time.Millisecond, func() { sim.Heal(confirmer.Name, leader.Name); sim.Heal(third.Name, leader.Name) })
 	}},
-	{"the state service is back for one alone, which the leader can't hear", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the state service recovers for the confirmer only, which is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.After(14*second, func() {
 			sim.Cut(leader.Name, confirmer.Name, "drop")
 			sim.Cut(third.Name, confirmer.Name, "drop")
@@ -82,16 +85,19 @@
 			delete(sim.Store.UnavailableTo, leader.Name)
 		})
 	}},
-	{"the state service is back for the others first", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the state service recovers for 500 ms while the leader is cut off from the confirmer", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.After(20*second, func() {
-			sim.Store.Recover() // but not for the leader
+			sim.Store.Recover() // by now it no longer refuses the leader
 			sim.After(500*time.Millisecond, func() { sim.Store.Unavailable = true })
 		})
 	}},
 }
 
-// isolateAndCrashConfirmer has a confirm what neither of the others hears of, and end.
+// isolateAndCrashConfirmer lets only the confirmer use the state service and cuts it
+// off from the other controllers. The confirmer confirms cancellations of which
+// neither of the others learns, crashes after 800 ms and restarts after the given
+// delay, when the network works again.
 func isolateAndCrashConfirmer(sim *Simulation, leader, confirmer, third *Controller, restartDelay time.Duration) {
 	sim.Store.UnavailableTo[third.Name] = true
 	sim.Cut(leader.Name, confirmer.Name, "drop")
@@ -104,10 +110,12 @@
 	sim.After(12*second, func() { delete(sim.Store.UnavailableTo, third.Name) })
 }
 
-// TestCancellationVisibilityGap: the tasks of a job are gone within cancel_s of the confirmation, or
-// nobody goes on acting, however long the state service is out afterwards. The
-// leader acted on the promise of the third controller for as long as the outage
-// lasted, while what the second had confirmed never reached it.
+// TestCancellationVisibilityGap checks that the tasks of a cancelled job are gone
+// within cancel_s of the confirmation to the user, however long the state service
+// is out afterwards. A leader that can't learn of all confirmed cancellations must
+// stop acting. It once went on for the whole outage with the promise of the third
+// controller, while the cancellations that the second one had confirmed never
+// reached it.
 func TestCancellationVisibilityGap(t *testing.T) {
 	for _, fault := range cancelVisibilityFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -126,7 +134,7 @@
 				sim.RunUntil(40 * second)
 				leader := sim.Leader()
 				if leader == nil {
-					t.Fatal("nobody leads")
+					t.Fatal("got no leader at 40 s")
 				}
 				confirmer, third := sim.Controllers[(leader.index+1)%3], sim.Controllers[(leader.index+2)%3]
 				sim.Store.UnavailableTo[leader.Name] = true
@@ -151,35 +159,36 @@
 				}
 				for _, id := range ids {
 					if job := sim.Checker.jobs[id]; job.cancelConfirmedAt == 0 && len(job.runningOn) != job.spec.Tasks {
-						t.Errorf("seed %d: %s: %d of %d tasks run long after the outage", seed, id, len(job.runningOn), job.spec.Tasks)
+						t.Errorf("seed %d: %s: got %d tasks running 125 s after the outage, want %d", seed, id, len(job.runningOn), job.spec.Tasks)
 					}
 				}
 			}
 			if confirmed < 9 {
-				t.Errorf("%d cancellations confirmed before the outage: the gap was not met", confirmed)
+				t.Errorf("got %d cancellations confirmed before the outage, want at least 9", confirmed)
 			}
 		})
 	}
 }
 
-// TestStoreOutageKeepsTasks: an outage of the state service, however long, ends no
-// task while every controller stands by the leader, also one that ends and is
-// back while its read lease would still run. With one out of the leader's reach
-// for long, nobody may go on: it might have confirmed cancellations.
+// TestStoreOutageKeepsTasks checks that an outage of the state service ends no task,
+// however long it is, while the leader reaches all other controllers or has recently
+// reached them. One of them may also crash and restart while its read lease still
+// runs. If the leader can't reach a controller from before the outage on, no
+// controller may go on acting, because that one might have confirmed cancellations.
 func TestStoreOutageKeepsTasks(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(sim *Simulation, leader, other *Controller)
 		kept   bool
 	}{
-		{"all are there", func(sim *Simulation, leader, other *Controller) {}, true},
-		{"one ends and is back within a moment", func(sim *Simulation, leader, other *Controller) { other.CrashFor(300 * time.Millisecond) }, true},
-		{"one ends and is back later", func(sim *Simulation, leader, other *Controller) { other.CrashFor(3 * second) }, true},
-		{"one is cut off", func(sim *Simulation, leader, other *Controller) {
+		{"all controllers are up", func(sim *Simulation, leader, other *Controller) {}, true},
+		{"one controller crashes and restarts at once", func(sim *Simulation, leader, other *Controller) { other.CrashFor(300 * time.Millisecond) }, true},
+		{"one controller crashes and restarts after 3 s", func(sim *Simulation, leader, other *Controller) { other.CrashFor(3 * second) }, true},
+		{"one controller is cut off from the leader during the outage", func(sim *Simulation, leader, other *Controller) {
 			sim.Cut(leader.Name, other.Name, "hold")
 			sim.After(40*second, func() { sim.Heal(leader.Name, other.Name) })
 		}, true},
-		{"one is cut off from before the outage on", func(sim *Simulation, leader, other *Controller) {}, false},
+		{"one controller is cut off from the leader before the outage", func(sim *Simulation, leader, other *Controller) {}, false},
 	}
 	for _, tc := range cases {
 		sim := New(DefaultOptions(3))
@@ -198,7 +207,7 @@
 		sim.RunUntil(102 * second)
 		kept := len(sim.Checker.jobs[job.ID].runningOn) == job.Tasks
 		if kept != tc.kept {
-			t.Errorf("%s: the tasks run on: %v, want %v", tc.name, kept, tc.kept)
+			t.Errorf("%s: got tasks still running: %v, want %v", tc.name, kept, tc.kept)
 		}
 		sim.Store.Recover()
 		sim.Heal(leader.Name, other.Name)
@@ -207,7 +216,7 @@
 			t.Errorf("%s: %s", tc.name, violation)
 		}
 		if tc.kept && sim.Checker.TaskStarts != job.Tasks {
-			t.Errorf("%s: %d starts of %d tasks", tc.name, sim.Checker.TaskStarts, job.Tasks)
+			t.Errorf("%s: got %d task starts, want %d", tc.name, sim.Checker.TaskStarts, job.Tasks)
 		}
 	}
 }
