--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -16,8 +16,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// storedFields lists the fields of a stored value, of whatever depth, by the kind of
-// its key; the names of machines in the roster are none.
+// storedFields returns the kind of a key of the state service (its first two path
+// elements) and the names of all fields in its value, at any depth. The machine names
+// in registry pages don't count as fields.
 func storedFields(key string, value []byte) (string, []string) {
 	dir := strings.Join(strings.SplitN(key, "/", 3)[:2], "/")
 	var v any
@@ -45,7 +46,8 @@
 	return dir, slices.Sorted(maps.Keys(fields))
 }
 
-// productionFields are the fields that the version in production stores.
+// productionFields returns, for each kind of key, the fields that the version in
+// production stores.
 func productionFields(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("../core/testdata/production.txt")
@@ -68,7 +70,7 @@
 			key = ""
 		}
 	}
-	// Fields that are left out where they say nothing, which no sample shows.
+	// These fields are omitted when they are empty, and no sample has them.
 	for dir, fields := range map[string][]string{"mf/r": {"standing", "quiet"}, "mf/j": {"samePlace", "site", "flavors", "loaners", "dueS"}} {
 		for _, f := range fields {
 			knownFields[dir][f] = true
@@ -77,19 +79,22 @@
 	return knownFields
 }
 
-// The limits of the state service before and after they are lowered.
+// The lowered limits of the state service: bytes in a value, changes in a
+// transaction, and changes a second.
 const (
 	loweredValueBytes      = 2 << 10
 	loweredTxnOps          = 4
 	loweredWritesPerSecond = 35
 )
 
+// lowerStoreLimits makes the state service apply the lowered limits.
 func (sim *Simulation) lowerStoreLimits() {
 	sim.Store.MaxValueBytes, sim.Store.MaxTxnChanges, sim.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWritesPerSecond
 }
 
-// upgradeOptions are those of a cluster that runs the former version and is rolled
-// over to the present one, which keeps to the lowered limits from the start.
+// upgradeOptions returns the options of a cluster that runs the previous version and
+// is upgraded to the present one. The present version keeps to the lowered limits
+// from the start.
 func upgradeOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
@@ -102,15 +107,16 @@
 	return opt
 }
 
-// upgradeWatcher looks at all that is written and answered while the cluster is
-// rolled over.
+// upgradeWatcher checks all writes and replies of the controllers during a rolling
+// upgrade.
 type upgradeWatcher struct {
 	t                   *testing.T
-	knownFields         map[string]map[string]bool // fields that the version in production stores
-	versionRaisedAt     time.Duration              // when the cluster version was
-	firstGangAcceptedAt time.Duration              // when the first gang was accepted
+	knownFields         map[string]map[string]bool // fields that the version in production stores, for each kind of key
+	versionRaisedAt     time.Duration              // when the cluster version was raised; 0: not yet
+	firstGangAcceptedAt time.Duration              // when the first gang was accepted; 0: not yet
 }
 
+// observe checks an effect of a controller and returns it unchanged.
 func (r *upgradeWatcher) observe(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
 	switch e := e.(type) {
 	case core.StoreCall:
@@ -123,19 +129,22 @@
 	return e
 }
 
+// checkWrite checks a transaction of a controller of the present version. It must keep
+// to the lowered limits. Until the cluster version is raised, it may write only keys
+// and fields that the version in production knows.
 func (r *upgradeWatcher) checkWrite(sim *Simulation, controller *Controller, call core.StoreCall) {
 	if sim.OnPreviousVersion[controller.Name] {
 		return
 	}
 	if len(call.Changes) > loweredTxnOps {
-		r.t.Errorf("%s makes %d changes in a transaction", controller.Name, len(call.Changes))
+		r.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit", controller.Name, len(call.Changes))
 	}
 	for _, change := range call.Changes {
 		if len(change.Value) > loweredValueBytes {
-			r.t.Errorf("%s writes %d bytes into %s", controller.Name, len(change.Value), change.Key)
+			r.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit", controller.Name, len(change.Value), change.Key)
 		}
-		// Keys of which the version in production knows nothing, and which it
-		// passes over.
+		// mf/forms and mf/v/ are keys that the version in production doesn't know and
+		// ignores. The first write of mf/forms raises the cluster version.
 		if change.Key == "mf/forms" {
 			if r.versionRaisedAt == 0 {
 				r.versionRaisedAt = sim.Now
@@ -147,24 +156,24 @@
 		}
 		dir, fields := storedFields(change.Key, change.Value)
 		if r.knownFields[dir] == nil {
-			r.t.Errorf("%s writes %s, which the version in production doesn't read", controller.Name, change.Key)
+			r.t.Errorf("%s: got a write of %s, want only keys that the version in production reads", controller.Name, change.Key)
 		}
 		for _, f := range fields {
 			if !r.knownFields[dir][f] {
-				r.t.Errorf("%s writes %s into %s before all controllers are changed over", controller.Name, f, change.Key)
+				r.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, f, change.Key)
 			}
 		}
 	}
 }
 
-// upgradeFaults are the troubles of a roll. turns are the times at which the
-// controllers are replaced.
+// upgradeFaults are the faults that are injected into a rolling upgrade. upgradeTimes
+// are the times at which the controllers are upgraded.
 var upgradeFaults = []struct {
 	name            string
-	limitsLoweredAt time.Duration // 0: 100 s, after the roll
+	limitsLoweredAt time.Duration // when the state service lowers its limits; 0: at 100 s, after the upgrade
 	inject          func(sim *Simulation, upgradeTimes []time.Duration)
 }{
-	{name: "the leader ends for a moment", inject: func(sim *Simulation, _ []time.Duration) {
+	{name: "the leader crashes and restarts at once", inject: func(sim *Simulation, _ []time.Duration) {
 		sim.At(50*second, func() { sim.crashLeader(300 * time.Millisecond) })
 	}},
 	{name: "the state service is out", inject: func(sim *Simulation, _ []time.Duration) { sim.outage(55*second, 68*second) }},
@@ -174,7 +183,7 @@
 	{name: "a zone is cut off", inject: func(sim *Simulation, _ []time.Duration) {
 		sim.At(54*second, func() { cutZone(sim, "b", 12*second, "hold") })
 	}},
-	{name: "the leader ends at each step", inject: func(sim *Simulation, upgradeTimes []time.Duration) {
+	{name: "the leader crashes before and after each upgrade", inject: func(sim *Simulation, upgradeTimes []time.Duration) {
 		for _, at := range upgradeTimes {
 			sim.At(at-2*second, func() { sim.crashLeader(time.Second) })
 			sim.At(at+5*second, func() { sim.crashLeader(time.Second) })
@@ -191,28 +200,28 @@
 			}
 		})
 	}},
-	{name: "the limits fall amid the roll", limitsLoweredAt: 57 * second, inject: func(*Simulation, []time.Duration) {}},
-	{name: "the state service is slow, answers are lost", inject: func(sim *Simulation, _ []time.Duration) {
+	{name: "the state service lowers its limits during the upgrade", limitsLoweredAt: 57 * second, inject: func(*Simulation, []time.Duration) {}},
+	{name: "the state service is slow, and replies are lost", inject: func(sim *Simulation, _ []time.Duration) {
 		sim.At(41*second, func() { sim.Store.MaxExtraLatency, sim.Store.UnansweredFraction = 300*time.Millisecond, 0.2 })
 		sim.At(90*second, func() { sim.Store.MaxExtraLatency, sim.Store.UnansweredFraction = 0, 0 })
 	}},
 }
 
-// upgradeOrders of replacing three controllers.
+// upgradeOrders are all orders in which three controllers can be upgraded.
 var upgradeOrders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 
-// TestRollingUpgrade rolls the controllers over from the former version to the present
-// one, in each order, with crashes that the seed chooses, under load and with
-// troubles; then the state service lowers its limits. Users of gangs are told to
-// come back until the last controller has been changed over; until then all that
-// is stored has the former version's form.
+// TestRollingUpgrade upgrades the controllers one by one from the previous version to
+// the present one, in each order, under load, with injected faults and with crashes
+// that the seed chooses. Then the state service lowers its limits. Until the last
+// controller is upgraded, submissions of gangs are answered with "retry later", and
+// everything is stored in the format of the previous version.
 func TestRollingUpgrade(t *testing.T) {
 	knownFields := productionFields(t)
-	mixes := map[string]bool{} // leader's version and how many others are old
+	mixes := map[string]bool{} // the leader's version and the number of other controllers of the previous version
 	var mu sync.Mutex
 	t.Cleanup(func() {
 		if !t.Failed() && len(mixes) < 6 {
-			t.Errorf("mixes of versions seen: %v, want the leader old or new beside none, one or two old ones", mixes)
+			t.Errorf("got mixes of versions %v, want all six: a previous or present leader beside none, one or two previous ones", mixes)
 		}
 	})
 	for seed := uint64(0); seed < uint64(max(len(upgradeFaults), 2**seedCount)); seed++ {
@@ -225,11 +234,11 @@
 			sim := New(opt)
 			sim.Users.ProbesAllControllers = true
 			sim.Cloud.BootTimeFactor = 0.2
-			for _, zone := range opt.Zones { // more than a page holds under the lowered limits
+			for _, zone := range opt.Zones { // more machines than a registry page holds under the lowered limits
 				sim.Cloud.Rent("small", zone, false, 16)
 			}
 			load(sim, 130*second)
-			submitGangs(sim, 130*second) // from the start: refused for now
+			submitGangs(sim, 130*second) // from the start, so that some are refused until the upgrade is complete
 			watchLeaders(sim)
 			watchVersionMixes(sim, func(mix string) {
 				mu.Lock()
@@ -246,10 +255,10 @@
 				sim.upgradeController(controller, at)
 				upgradeTimes = append(upgradeTimes, at)
 				if sim.Rand.IntN(2) == 0 {
-					crash(at-time.Duration(3+sim.Rand.IntN(9))*second, controller) // it comes back old
+					crash(at-time.Duration(3+sim.Rand.IntN(9))*second, controller) // it restarts with the previous version
 				}
 				if sim.Rand.IntN(2) == 0 {
-					crash(at+time.Duration(5+sim.Rand.IntN(5))*second, controller) // and new
+					crash(at+time.Duration(5+sim.Rand.IntN(5))*second, controller) // it restarts with the present version
 				}
 			}
 			fault.inject(sim, upgradeTimes)
@@ -258,7 +267,7 @@
 				limitsLoweredAt = 100 * second
 			}
 			sim.At(limitsLoweredAt, sim.lowerStoreLimits)
-			sim.At(105*second, func() { // a page that a former leader wrote has to change
+			sim.At(105*second, func() { // makes the leader change a registry page that a previous leader wrote
 				sim.Cloud.RemoveMachine("n-000003")
 				sim.Cloud.RemoveMachine("n-000020")
 			})
@@ -276,13 +285,13 @@
 			}
 			lastUpgradeAt := upgradeTimes[len(upgradeTimes)-1]
 			if watcher.versionRaisedAt <= lastUpgradeAt || watcher.versionRaisedAt > lastUpgradeAt+30*second {
-				t.Errorf("the last controller is changed over at %v, the cluster version was raised at %v", lastUpgradeAt, watcher.versionRaisedAt)
+				t.Errorf("last controller upgraded at %v: got cluster version raised at %v, want within 30 s after that", lastUpgradeAt, watcher.versionRaisedAt)
 			}
 			if watcher.firstGangAcceptedAt <= watcher.versionRaisedAt {
-				t.Errorf("a gang was accepted at %v, the cluster version was raised at %v", watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
+				t.Errorf("got first gang accepted at %v, want it after the cluster version is raised at %v", watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 			}
 			if fault.limitsLoweredAt == 0 && sim.Store.RefusedTooLarge+sim.Store.RefusedRateLimited > 0 {
-				t.Errorf("%d transactions beyond the lowered limits, %d beyond the rate", sim.Store.RefusedTooLarge, sim.Store.RefusedRateLimited)
+				t.Errorf("got %d transactions beyond the lowered limits and %d beyond the lowered rate, want 0", sim.Store.RefusedTooLarge, sim.Store.RefusedRateLimited)
 			}
 			gangs := 0
 			for _, job := range sim.Checker.jobs {
@@ -291,13 +300,14 @@
 				}
 			}
 			if accepted, done := sim.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
-				t.Errorf("%d of %d jobs and %d gangs done at the end of the day", done, accepted, gangs)
+				t.Errorf("got %d of %d accepted jobs and %d gangs done at the end, want all of at least 10 jobs and at least 5 gangs", done, accepted, gangs)
 			}
 		})
 	}
 }
 
-// upgradeController changes a controller over to the present version at a time.
+// upgradeController restarts a controller with the present version at the given
+// time; the restart takes 3 s.
 func (sim *Simulation) upgradeController(controller *Controller, at time.Duration) {
 	sim.At(at, func() {
 		sim.OnPreviousVersion[controller.Name] = false
@@ -305,7 +315,8 @@
 	})
 }
 
-// watchVersionMixes reports, all day, which version leads beside how many former ones.
+// watchVersionMixes reports every 100 ms the version of the leader and how many other
+// controllers run the previous version.
 func watchVersionMixes(sim *Simulation, seen func(mix string)) {
 	var sample func()
 	sample = func() {
@@ -316,34 +327,35 @@
 					others++
 				}
 			}
-			seen(fmt.Sprintf("leader old: %v, others old: %d", leader.runsPreviousVersion, others))
+			seen(fmt.Sprintf("leader of the previous version: %v, others of it: %d", leader.runsPreviousVersion, others))
 		}
 		sim.After(100*time.Millisecond, sample)
 	}
 	sample()
 }
 
-// TestRollingUpgradeWithUnreachableController: a controller that has been changed over and then can't be
-// reached for minutes doesn't keep gangs waiting. One that was changed back does,
-// whatever it had noted before, once a controller of the new version has led
-// within its reach.
+// TestRollingUpgradeWithUnreachableController checks that a controller that was
+// upgraded and then can't be reached for minutes doesn't keep gangs waiting. A
+// controller that was downgraded again must keep them waiting, although it had stored
+// the present version before, if a leader of the present version could reach it
+// after the downgrade.
 func TestRollingUpgradeWithUnreachableController(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// play keeps the first controller from the others from some time after its
-		// replacement until 200 s; the last one is replaced at 80 s.
+		// inject keeps the first controller, which is upgraded at 40 s, from the others
+		// from some time on until 200 s. The last controller is upgraded at 80 s.
 		inject       func(sim *Simulation, controller *Controller)
-		acceptsGangs bool // gangs, before it is back
+		acceptsGangs bool // whether gangs are accepted before the controller can be reached again
 	}{
-		{"cut from the other controllers", func(sim *Simulation, controller *Controller) {
+		{"upgraded, then cut off from the other controllers", func(sim *Simulation, controller *Controller) {
 			sim.At(46*second, func() { cutFromPeers(sim, controller, 154*second) })
 			sim.upgradeController(sim.Controllers[1], 65*second)
 		}, true},
-		{"ended", func(sim *Simulation, controller *Controller) {
+		{"upgraded, then crashed", func(sim *Simulation, controller *Controller) {
 			sim.At(50*second, func() { controller.CrashFor(150 * second) })
 			sim.upgradeController(sim.Controllers[1], 65*second)
 		}, true},
-		{"changed back, heard of, and cut off", func(sim *Simulation, controller *Controller) {
+		{"downgraded, noticed by the leader, then cut off", func(sim *Simulation, controller *Controller) {
 			sim.upgradeController(sim.Controllers[1], 50*second)
 			sim.At(58*second, func() { sim.Controllers[2].CrashFor(14 * second) })
 			sim.At(60*second, func() { sim.OnPreviousVersion[controller.Name] = true; controller.CrashFor(second) })
@@ -365,7 +377,7 @@
 				sim.upgradeController(sim.Controllers[2], 80*second)
 				sim.RunUntil(200 * second)
 				if accepted := watcher.firstGangAcceptedAt != 0 && watcher.firstGangAcceptedAt < 110*second; accepted != tc.acceptsGangs {
-					t.Errorf("seed %d: the first gang was accepted at %v, the cluster version raised at %v", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
+					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0: not), want as the row says", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 				}
 				sim.RunUntil(250 * second)
 				for _, violation := range sim.Checker.Violations {
@@ -376,7 +388,8 @@
 	}
 }
 
-// cutFromPeers cuts a controller from the others, not from anything else.
+// cutFromPeers cuts a controller off from the other controllers only, for the given
+// duration.
 func cutFromPeers(sim *Simulation, controller *Controller, duration time.Duration) {
 	for _, other := range sim.Controllers {
 		if other != controller {
