--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -11,11 +11,12 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestGuaranteePreemptsBorrower: a team that borrows all machines has to give back
-// what another team's guarantee needs, though the priorities are equal.
+// TestGuaranteePreemptsBorrower checks that a team that borrows all machines loses
+// the capacity that another team's guarantee needs, and no more, although the
+// priorities are equal.
 func TestGuaranteePreemptsBorrower(t *testing.T) {
 	opt := DefaultOptions(4)
-	opt.Capacity = 1 // three machines of 4 CPUs, and three spot ones that nobody may use
+	opt.Capacity = 1 // three machines of 4 CPUs, and three spot machines that these jobs may not use
 	opt.Config.Teams["own"] = core.Team{Guaranteed: sched.Resources{CPUs: 4}}
 	sim := New(opt)
 	borrower := batchJob("req-000001", 12)
@@ -25,15 +26,15 @@
 	sim.At(60*second, func() { sim.Users.Submit(claimant, 10*second) })
 	sim.RunUntil(100 * second)
 	if n := len(sim.Checker.jobs["req-000002"].doneTasks); n != 4 {
-		t.Errorf("%d of 4 tasks within the guarantee are done after 40 s", n)
+		t.Errorf("got %d tasks within the guarantee done after 40 s, want 4", n)
 	}
 	if n := len(sim.Checker.jobs["req-000001"].runningOn); n < 8 {
-		t.Errorf("the borrower has %d tasks left, want the 8 that nobody claims", n)
+		t.Errorf("got %d tasks of the borrower still running, want the 8 that the guarantee doesn't need", n)
 	}
 }
 
-// TestEqualPriorityIsNotPreempted: without a guarantee, work doesn't stop work of
-// its own priority.
+// TestEqualPriorityIsNotPreempted checks that a job without a guarantee doesn't
+// preempt jobs of its own priority.
 func TestEqualPriorityIsNotPreempted(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1
@@ -44,12 +45,12 @@
 	sim.At(60*second, func() { sim.Users.Submit(other, 10*second) })
 	sim.RunUntil(100 * second)
 	if n := len(sim.Checker.jobs["req-000001"].runningOn); n != 12 {
-		t.Errorf("%d of 12 tasks run on", n)
+		t.Errorf("got %d tasks of the first job still running, want 12", n)
 	}
 }
 
-// TestProdPreemptsOnlyWhatItNeeds: a replica that finds no room stops lower work,
-// and only as much as it needs.
+// TestProdPreemptsOnlyWhatItNeeds checks that a replica of a service that finds no
+// free capacity preempts tasks of lower priority, and only as many as it needs.
 func TestProdPreemptsOnlyWhatItNeeds(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1
@@ -60,16 +61,16 @@
 	sim.At(60*second, func() { sim.Users.Submit(serviceJob("req-000002", 1), 0) })
 	sim.RunUntil(75 * second)
 	if sim.runningMachine("req-000002/0") == nil {
-		t.Error("the replica does not run 15 s later")
+		t.Error("got replica not running 15 s after its submission, want running")
 	}
 	if n := len(sim.Checker.jobs["req-000001"].runningOn); n != 10 {
-		t.Errorf("%d low tasks left of 12, want 10", n)
+		t.Errorf("got %d of 12 low-priority tasks still running, want 10", n)
 	}
 }
 
-// TestIdleMachinesServeDuringCloudOutage: a return that the cloud refused
-// leaves the machine as it was. It used to stand empty until the cloud was
-// back, while jobs waited for it.
+// TestIdleMachinesServeDuringCloudOutage checks that a machine gets tasks again after
+// the cloud has refused its return. Such a machine once stayed empty until the cloud
+// was back, while jobs waited.
 func TestIdleMachinesServeDuringCloudOutage(t *testing.T) {
 	sim := New(DefaultOptions(4))
 	sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 4), 5*second) })
@@ -77,12 +78,12 @@
 	sim.At(120*second, func() { sim.Users.Submit(batchJob("req-000002", 4), 5*second) })
 	sim.RunUntil(150 * second)
 	if n := len(sim.Checker.jobs["req-000002"].doneTasks); n != 4 {
-		t.Errorf("%d of 4 tasks done on the idle machine after 30 s", n)
+		t.Errorf("got %d tasks done on the idle machine after 30 s, want 4", n)
 	}
 }
 
-// TestGangRunsTogether: all tasks of a gang start in one round, and when one
-// is lost with its machine none of the others runs on without it.
+// TestGangRunsTogether checks that all tasks of a gang run at the same time, and that
+// the gang is done even if one machine is lost while it runs.
 func TestGangRunsTogether(t *testing.T) {
 	sim := New(DefaultOptions(4))
 	gang := batchJob("req-000001", 6)
@@ -111,27 +112,27 @@
 			partial++
 		}
 	}
-	// Parts are seen only while images arrive and while a lost lease is
-	// waited out.
+	// Only a part of the gang runs while images are fetched, and while the lease of the
+	// lost machine has not expired.
 	if complete == 0 || len(sim.Checker.jobs["req-000001"].doneTasks) != 6 {
-		t.Errorf("all six together for %d s, parts for %d s, %d done", complete, partial, len(sim.Checker.jobs["req-000001"].doneTasks))
+		t.Errorf("got all six tasks running for %d s, a part of them for %d s, and %d tasks done; want all together for a time, and six done", complete, partial, len(sim.Checker.jobs["req-000001"].doneTasks))
 	}
 	for _, violation := range sim.Checker.Violations {
 		t.Error(violation)
 	}
 }
 
-// TestLowPriorityJobDoesNotStarve: more urgent work than the machines can do, all the time,
-// with a burst of replicas on top and a machine lost. The largest and least
-// urgent job begins all the same.
+// TestLowPriorityJobDoesNotStarve submits more urgent work than the machines can do,
+// all the time, adds a burst of service replicas, and removes a machine. The largest
+// job of the lowest priority must start in time all the same.
 func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	opt := DefaultOptions(6)
-	opt.Capacity = 1 // three machines of 4 CPUs, and three spot ones that nobody may use
+	opt.Capacity = 1 // three machines of 4 CPUs, and three spot machines that these jobs may not use
 	sim := New(opt)
 	jobNumber := 1
 	for at := second; at < 300*second; at += 4 * second {
 		jobNumber++
-		job := batchJob(fmt.Sprintf("req-%06d", jobNumber), 6) // 6 tasks of 12 s every 4 s: half as much again as there is room for
+		job := batchJob(fmt.Sprintf("req-%06d", jobNumber), 6) // 6 tasks of 12 s every 4 s need 18 CPUs, one and a half times what there is
 		sim.At(at, func() { sim.Users.Submit(job, 12*second) })
 	}
 	for _, at := range []time.Duration{20, 21, 22} {
@@ -151,16 +152,18 @@
 	}
 }
 
-// TestUnresponsiveMachineLeaseIsNotRenewed: a machine comes back from a hang while the
-// state service is away, so that its mark as silent can't be taken off the
-// roster; then the leader crashes. Its successor goes by the mark, so nobody
-// may have renewed the machine's lease in the meantime.
+// TestUnresponsiveMachineLeaseIsNotRenewed pauses a machine for 6 s, so that the
+// leader writes its last-contact time to the registry. The machine continues while the
+// state service is out, so that the leader can't remove that time. Then the leader
+// crashes. Its successor counts the machine's lease from the time in the registry, so
+// no controller may have renewed the lease in the meantime.
 func TestUnresponsiveMachineLeaseIsNotRenewed(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		sim := New(DefaultOptions(seed))
 		longJob := batchJob("req-000001", 12) // three machines
 		sim.At(second, func() { sim.Users.Submit(longJob, 90*second) })
-		// Others leave room when it matters, on machines that aren't returned yet.
+		// This job ends at about 40 s and leaves free capacity, on machines that are not
+		// returned yet, at the time of the faults.
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000002", 8), 25*second) })
 		sim.At(40*second, func() { sim.runningMachine("req-000001/0").Pause(6 * second) })
 		sim.At(45500*time.Millisecond, func() { sim.Store.Unavailable = true })
@@ -171,21 +174,22 @@
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 		if sim.Checker.TaskStarts < 12 {
-			t.Errorf("seed %d: only %d tasks started", seed, sim.Checker.TaskStarts)
+			t.Errorf("seed %d: got %d task starts, want at least 12", seed, sim.Checker.TaskStarts)
 		}
 	}
 }
 
-// TestMaxMachinesLimit: rentals stop at the operators' limit, and the
-// log says so once. A limit of our own once kept a fleet from renting at all:
-// more machines stood there than it allowed.
+// TestMaxMachinesLimit checks that no more machines are rented than the operators
+// allow, that this is logged once, and that there is no limit if they set none. A
+// built-in limit once kept a fleet from renting at all, because the fleet had more
+// machines than the limit.
 func TestMaxMachinesLimit(t *testing.T) {
 	for _, limit := range []int{0, 5} {
 		opt := DefaultOptions(6)
 		opt.Config.MaxMachines = limit
 		logged := 0
 		opt.Tamper = func(_ *Simulation, _ *Controller, e core.Effect) core.Effect {
-			if l, ok := e.(core.Log); ok && strings.Contains(l.Text, "operators allow") {
+			if entry, ok := e.(core.Log); ok && strings.Contains(entry.Text, "operators allow") {
 				logged++
 			}
 			return e
@@ -198,14 +202,14 @@
 			want, lines = limit, 1
 		}
 		if n := len(sim.Cloud.machines); n != want || logged != lines {
-			t.Errorf("limit %d: %d machines and %d lines in the log, want %d and %d", limit, n, logged, want, lines)
+			t.Errorf("limit %d: got %d machines and %d log lines, want %d and %d", limit, n, logged, want, lines)
 		}
 	}
 }
 
-// TestGangPreemption: a gang within its team's guarantee, or more urgent than
-// what runs, gets the room of other work on all machines that it needs at once;
-// where the gang as a whole still wouldn't fit, nothing is stopped.
+// TestGangPreemption checks that a gang within its team's guarantee, or more urgent
+// than running work, preempts other work on all machines that it needs at once. If
+// the whole gang still wouldn't fit, nothing is preempted.
 func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
 	guaranteedGang := func(tasks int) model.Job {
@@ -215,64 +219,65 @@
 	}
 	for _, tc := range []struct {
 		name string
-		team core.Team // of the gang
+		team core.Team // the team of the gang
 		load func(sim *Simulation)
 		gang model.Job
-		// begins: the gang runs within 15 s; left: tasks of the others that run on.
+		// starts says whether the gang runs within 15 s. remaining is the least number of
+		// tasks of each other job that run meanwhile.
 		starts    bool
 		remaining map[string]int
 	}{
-		{name: "within the guarantee, others borrow", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(4), starts: true,
+		{name: "within the guarantee, and others borrow", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(4), starts: true,
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 4}},
-		{name: "a part of it is beyond the guarantee", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(5),
+		{name: "a part of the gang is beyond the guarantee", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(5),
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "it would not fit into any zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(3); gang.OneZone = true; return gang }(),
+		{name: "the gang would not fit into any zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(3); gang.OneZone = true; return gang }(),
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "one zone is cleared for it", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(2); gang.OneZone = true; return gang }(), starts: true,
+		{name: "the gang preempts the tasks of one zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(2); gang.OneZone = true; return gang }(), starts: true,
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 8}},
-		{name: "it would be beyond the team's limit", team: core.Team{Guaranteed: sched.Resources{CPUs: 12}, Limit: sched.Resources{CPUs: 10}}, gang: guaranteedGang(4),
+		{name: "the gang would exceed the team's limit", team: core.Team{Guaranteed: sched.Resources{CPUs: 12}, Limit: sched.Resources{CPUs: 10}}, gang: guaranteedGang(4),
 			load: func(sim *Simulation) {
 				sameTeam := batchJob("req-000002", 4)
 				sameTeam.Team = "own"
 				sim.Users.Submit(sameTeam, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 8), 200*second)
 			}, remaining: map[string]int{"req-000001": 8, "req-000002": 4}},
-		{name: "work that saves goes first", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(3), starts: true,
+		{name: "work with checkpoints is preempted first", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(3), starts: true,
 			load: func(sim *Simulation) {
 				checkpointed := batchJob("req-000002", 6)
 				checkpointed.CheckpointEveryS, checkpointed.CheckpointCostS = 3, 1
 				sim.Users.Submit(checkpointed, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 6, "req-000002": 0}},
-		{name: "a borrowing gang ends as a whole", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2), starts: true,
+		{name: "a borrowing gang is preempted as a whole", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2), starts: true,
 			load: func(sim *Simulation) { sim.Users.Submit(gangOf("req-000001", 6), 200*second) }, remaining: map[string]int{"req-000001": 0}},
-		{name: "a gang that is partly within its own guarantee runs on", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2),
+		{name: "a gang that is partly within its own guarantee is not preempted", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2),
 			load: func(sim *Simulation) {
 				sim.Options.Config.Teams["t"] = core.Team{Guaranteed: sched.Resources{CPUs: 8}}
 				sim.Users.Submit(gangOf("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 6}},
-		{name: "no guarantee, equally urgent", gang: guaranteedGang(2),
+		{name: "no guarantee and equal priority", gang: guaranteedGang(2),
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "more urgent than some, who have to make room", gang: func() model.Job { gang := guaranteedGang(3); gang.Priority = model.PriorityHigh; return gang }(), starts: true,
+		{name: "higher priority than some jobs, which are preempted", gang: func() model.Job { gang := guaranteedGang(3); gang.Priority = model.PriorityHigh; return gang }(), starts: true,
 			load: func(sim *Simulation) {
 				samePriority := batchJob("req-000002", 6)
 				samePriority.Priority = model.PriorityHigh
 				sim.Users.Submit(samePriority, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 0, "req-000002": 6}},
-		{name: "more urgent than some, but they can't make room for all of it", gang: func() model.Job { gang := guaranteedGang(4); gang.Priority = model.PriorityHigh; return gang }(),
+		{name: "higher priority than some jobs, whose capacity is too small for the gang", gang: func() model.Job { gang := guaranteedGang(4); gang.Priority = model.PriorityHigh; return gang }(),
 			load: func(sim *Simulation) {
 				samePriority := batchJob("req-000002", 6)
 				samePriority.Priority = model.PriorityHigh
 				sim.Users.Submit(samePriority, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 6, "req-000002": 6}},
-		{name: "more urgent than anything else", gang: func() model.Job { gang := guaranteedGang(2); gang.Priority = model.PriorityProd; return gang }(), starts: true,
+		{name: "higher priority than all other jobs", gang: func() model.Job { gang := guaranteedGang(2); gang.Priority = model.PriorityProd; return gang }(), starts: true,
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 8}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			opt := DefaultOptions(4)
-			opt.Capacity = 1 // three machines of 4 CPUs, one in each zone, and spot ones that nobody may use
+			opt.Capacity = 1 // three machines of 4 CPUs, one in each zone, and spot machines that these jobs may not use
 			opt.Config.Teams["own"] = tc.team
 			sim := New(opt)
 			sim.At(second, func() { tc.load(sim) })
@@ -294,11 +299,11 @@
 			sim.RunUntil(arrival + 15*second)
 			for id, want := range tc.remaining {
 				if fewestRunning[id] != want {
-					t.Errorf("%d tasks of %s run on at least, want %d", fewestRunning[id], id, want)
+					t.Errorf("got a minimum of %d running tasks of %s, want %d", fewestRunning[id], id, want)
 				}
 			}
 			if started := sim.Checker.jobs[tc.gang.ID].firstStartedAt != 0; started != tc.starts {
-				t.Errorf("the gang has begun within 15 s: %v, want %v", started, tc.starts)
+				t.Errorf("got gang started within 15 s: %v, want %v", started, tc.starts)
 			}
 			for _, violation := range sim.Checker.Violations {
 				t.Error(violation)
