--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestLargeGangStartsUnderArrayLoad submits arrays without a pause, which take all
+// TestLargeGangStartsUnderArrayLoad continuously submits arrays, which take all
 // capacity that becomes free. A gang that needs three of the six machines of a zone
 // must still start, on machines that are reserved for it, and the arrays must go on.
 func TestLargeGangStartsUnderArrayLoad(t *testing.T) {
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -15,7 +15,7 @@
 	*Simulation
 	machines                                                                             int
 	changesWritten, storeRequests, directCommands, maxCommandsInFlight, commandsInFlight int
-	roundsByInterval                                                                     map[time.Duration]int // scheduling rounds in each report interval, by its number
+	roundsByInterval                                                                     map[time.Duration]int // scheduling rounds, keyed by the number of the report interval
 }
 
 // newDefaultFleet starts a fleet of 450 machines with the default options.
@@ -49,8 +49,8 @@
 		}
 		return func() time.Duration { return 0 }
 	}
-	opt.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
-		switch e := e.(type) {
+	opt.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		switch e := effect.(type) {
 		case core.StoreCall:
 			fleet.storeRequests++
 			fleet.changesWritten += len(e.Changes)
@@ -60,7 +60,7 @@
 			fleet.maxCommandsInFlight = max(fleet.maxCommandsInFlight, fleet.commandsInFlight)
 			sim.After(10*time.Millisecond, func() { fleet.commandsInFlight-- }) // the longest round trip: 5 ms each way
 		}
-		return e
+		return effect
 	}
 	fleet.Simulation = New(opt)
 	fleet.Cloud.BootTimeFactor = 0.02 // boots take 0.3 s at most
@@ -512,23 +512,23 @@
 // onLog calls f whenever a controller logs the given text.
 func (fleet *grown) onLog(text string, f func()) {
 	previous := fleet.Options.Tamper
-	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
-		if entry, ok := e.(core.Log); ok && entry.Text == text {
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		if entry, ok := effect.(core.Log); ok && entry.Text == text {
 			f()
 		}
-		return previous(sim, controller, e)
+		return previous(sim, controller, effect)
 	}
 }
 
 // onReturn calls f for each machine that a controller returns to the cloud.
 func (fleet *grown) onReturn(f func(host string)) {
 	previous := fleet.Options.Tamper
-	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
-		if call, ok := e.(core.CloudCall); ok && call.Op == core.CloudReturn {
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		if call, ok := effect.(core.CloudCall); ok && call.Op == core.CloudReturn {
 			for _, host := range call.Hosts {
 				f(host)
 			}
 		}
-		return previous(sim, controller, e)
+		return previous(sim, controller, effect)
 	}
 }
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -518,8 +518,8 @@
 				sim.Checker.CheckKnown(75 * second)
 				sim.RunUntil(300 * second)
 				sim.Checker.CheckServed()
-				for _, b := range sim.Checker.Violations {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, violation := range sim.Checker.Violations {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted == 0 || done < accepted {
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -64,16 +64,16 @@
 			if knownFields[dir] == nil {
 				knownFields[dir] = map[string]bool{}
 			}
-			for _, f := range fields {
-				knownFields[dir][f] = true
+			for _, field := range fields {
+				knownFields[dir][field] = true
 			}
 			key = ""
 		}
 	}
 	// These fields are omitted when they are empty, and no sample has them.
 	for dir, fields := range map[string][]string{"mf/r": {"standing", "quiet"}, "mf/j": {"samePlace", "site", "flavors", "loaners", "dueS"}} {
-		for _, f := range fields {
-			knownFields[dir][f] = true
+		for _, field := range fields {
+			knownFields[dir][field] = true
 		}
 	}
 	return knownFields
@@ -117,16 +117,16 @@
 }
 
 // observe checks an effect of a controller and returns it unchanged.
-func (r *upgradeWatcher) observe(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
-	switch e := e.(type) {
+func (r *upgradeWatcher) observe(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+	switch e := effect.(type) {
 	case core.StoreCall:
 		r.checkWrite(sim, controller, e)
 	case core.Reply:
-		if st, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(st.ID, "req-3") && r.firstGangAcceptedAt == 0 {
+		if status, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(status.ID, "req-3") && r.firstGangAcceptedAt == 0 {
 			r.firstGangAcceptedAt = sim.Now
 		}
 	}
-	return e
+	return effect
 }
 
 // checkWrite checks a transaction of a controller of the present version. It must keep
@@ -158,9 +158,9 @@
 		if r.knownFields[dir] == nil {
 			r.t.Errorf("%s: got a write of %s, want only keys that the version in production reads", controller.Name, change.Key)
 		}
-		for _, f := range fields {
-			if !r.knownFields[dir][f] {
-				r.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, f, change.Key)
+		for _, field := range fields {
+			if !r.knownFields[dir][field] {
+				r.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, field, change.Key)
 			}
 		}
 	}
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -188,11 +188,11 @@
 		opt := DefaultOptions(6)
 		opt.Config.MaxMachines = limit
 		logged := 0
-		opt.Tamper = func(_ *Simulation, _ *Controller, e core.Effect) core.Effect {
-			if entry, ok := e.(core.Log); ok && strings.Contains(entry.Text, "operators allow") {
+		opt.Tamper = func(_ *Simulation, _ *Controller, effect core.Effect) core.Effect {
+			if entry, ok := effect.(core.Log); ok && strings.Contains(entry.Text, "operators allow") {
 				logged++
 			}
-			return e
+			return effect
 		}
 		sim := New(opt)
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 60), 200*second) })
