--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -9,514 +9,526 @@
 	"mulleinfall/internal/model"
 )
 
-// grown is a world with hundreds of machines that are up at once, and counters
-// of what the controllers do to the outside.
+// grown is a simulation of a large fleet whose machines are up almost at once. It
+// counts the controllers' calls to the state service and to workers.
 type grown struct {
 	*Simulation
-	machines                              int
-	puts, requests, directs, atOnce, open int
-	rounds                                map[time.Duration]int // by report interval
+	machines                                                                             int
+	changesWritten, storeRequests, directCommands, maxCommandsInFlight, commandsInFlight int
+	roundsByInterval                                                                     map[time.Duration]int // scheduling rounds, keyed by the number of the report interval
 }
 
-// newGrown has 450 machines and the settings of Defaults.
-func newGrown(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
+// newDefaultFleet starts a fleet of 450 machines with the default options.
+func newDefaultFleet(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
 
-// newFleet has three times zone machines and the settings of the largest
+// newLargestDeployment starts a fleet in three zones with the settings of the largest
 // deployments.
-func newFleet(seed uint64, zone int) *grown { return growTo(largest(seed), zone) }
+func newLargestDeployment(seed uint64, machinesPerZone int) *grown {
+	return growTo(largest(seed), machinesPerZone)
+}
 
-// largest are the settings of the largest deployments, less the time that workers
-// need for details.
+// largest returns the options of the largest deployments. Workers check their tasks
+// every 100 ms instead of every 20 ms, to save simulation time.
 func largest(seed uint64) Options {
 	opt := DefaultOptions(seed)
-	c := &opt.Config
-	c.ReportInterval, c.Lease, c.CancelWithin = 6*second, 31*second, 51*second
-	c.StoreRPS, c.StoreWriteRPS, c.MaxValueBytes, c.MaxTxnOps = 250, 70, 16<<10, 24
-	c.MaxDirectCommands, c.MaxRequests = 152, 1990
+	config := &opt.Config
+	config.ReportInterval, config.Lease, config.CancelWithin = 6*second, 31*second, 51*second
+	config.StoreRPS, config.StoreWriteRPS, config.MaxValueBytes, config.MaxTxnOps = 250, 70, 16<<10, 24
+	config.MaxDirectCommands, config.MaxRequests = 152, 1990
 	opt.WorkerStepInterval = 100 * time.Millisecond
 	return opt
 }
 
-func growTo(opt Options, zone int) *grown {
-	g := &grown{rounds: map[time.Duration]int{}, machines: zone * len(opt.Zones)}
-	opt.Capacity = zone
+// growTo starts a fleet with the given number of machines in each zone.
+func growTo(opt Options, machinesPerZone int) *grown {
+	fleet := &grown{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
+	opt.Capacity = machinesPerZone
 	opt.Config.Stopwatch = func() func() time.Duration {
-		if g.Simulation != nil {
-			g.rounds[g.Now/opt.Config.ReportInterval]++
+		if fleet.Simulation != nil {
+			fleet.roundsByInterval[fleet.Now/opt.Config.ReportInterval]++
 		}
 		return func() time.Duration { return 0 }
 	}
-	opt.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-		switch e := e.(type) {
+	opt.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		switch e := effect.(type) {
 		case core.StoreCall:
-			g.requests++
-			g.puts += len(e.Changes)
+			fleet.storeRequests++
+			fleet.changesWritten += len(e.Changes)
 		case core.AgentCall:
-			g.directs++
-			g.open++
-			g.atOnce = max(g.atOnce, g.open)
-			w.After(10*time.Millisecond, func() { g.open-- }) // the longest way there and back
+			fleet.directCommands++
+			fleet.commandsInFlight++
+			fleet.maxCommandsInFlight = max(fleet.maxCommandsInFlight, fleet.commandsInFlight)
+			sim.After(10*time.Millisecond, func() { fleet.commandsInFlight-- }) // the longest round trip: 5 ms each way
 		}
-		return e
+		return effect
 	}
-	g.Simulation = New(opt)
-	g.Cloud.BootTimeFactor = 0.02 // up within a moment
-	for _, name := range opt.Zones {
-		g.Cloud.Rent("small", name, false, zone)
+	fleet.Simulation = New(opt)
+	fleet.Cloud.BootTimeFactor = 0.02 // boots take 0.3 s at most
+	for _, zone := range opt.Zones {
+		fleet.Cloud.Rent("small", zone, false, machinesPerZone)
 	}
-	return g
+	return fleet
 }
 
-// load keeps some 400 tasks running in jobs of 40, and services of 8.
-func (g *grown) load(until time.Duration) {
+// submitLoad submits a batch job of 40 tasks every 2 s, which keeps some 400 tasks
+// running, and a service of 8 replicas every 10 s.
+func (fleet *grown) submitLoad(until time.Duration) {
 	for i, at := 0, second; at < until; i, at = i+1, at+2*second {
-		j := batchJob(fmt.Sprintf("req-%06d", i), 40)
-		j.Class, j.Image = "batch", fmt.Sprintf("img-%d", i%6)
-		g.At(at, func() { g.Users.Submit(j, 20*second) })
+		job := batchJob(fmt.Sprintf("req-%06d", i), 40)
+		job.Class, job.Image = "batch", fmt.Sprintf("img-%d", i%6)
+		fleet.At(at, func() { fleet.Users.Submit(job, 20*second) })
 		if i%5 == 0 {
-			sv := serviceJob(fmt.Sprintf("req-%06d", 500000+i), 8)
-			sv.Class = "service"
-			g.At(at, func() { g.Users.Submit(sv, 0) })
+			service := serviceJob(fmt.Sprintf("req-%06d", 500000+i), 8)
+			service.Class = "service"
+			fleet.At(at, func() { fleet.Users.Submit(service, 0) })
 		}
 	}
 }
 
-// TestGrownFleet counts, at the size of the largest deployments, what once grew
-// with the fleet: writes of the roster, rounds of decisions, direct commands at
-// a time, and how long it takes until all machines are of use.
-func TestGrownFleet(t *testing.T) {
-	g := newGrown(1)
-	g.load(100 * second)
-	g.RunUntil(8 * second)
-	if n := len(g.Workers); n != 450 {
-		t.Fatalf("%d machines are up, want 450", n)
-	}
-	if on := g.running(); on < 100 {
-		t.Errorf("%d tasks run 8 s after the start: the machines aren't of use yet", on)
-	}
-	// One write a machine would be 450, and more than half a minute's worth.
-	if g.puts > 120 {
-		t.Errorf("%d changes written to the state service in the first 8 s", g.puts)
-	}
-	g.RunUntil(40 * second)
-	puts, requests := g.puts, g.requests
-	g.RunUntil(60 * second)
-	rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20
-	if rps > g.Options.Config.StoreRPS || wps > g.Options.Config.StoreWriteRPS {
-		t.Errorf("%.0f requests and %.0f changes a second, more than the state service takes", rps, wps)
-	}
-	for at, n := range g.rounds {
-		if n > 26 { // 24, and one at each end
-			t.Errorf("%d rounds of decisions in the report interval from %v", n, at*g.Options.Config.ReportInterval)
+// TestLargeFleet bounds costs that once grew with the number of machines: writes of
+// the machine registry, scheduling rounds, concurrent direct commands, and the time
+// until all machines run tasks.
+func TestLargeFleet(t *testing.T) {
+	fleet := newDefaultFleet(1)
+	fleet.submitLoad(100 * second)
+	fleet.RunUntil(8 * second)
+	if n := len(fleet.Workers); n != 450 {
+		t.Fatalf("got %d machines up, want 450", n)
+	}
+	if running := fleet.runningTaskCount(); running < 100 {
+		t.Errorf("got %d tasks running 8 s after the start, want at least 100", running)
+	}
+	// One write for each machine would be 450 changes, which take at least 9 s at the
+	// 50 changes a second that the state service accepts.
+	if fleet.changesWritten > 120 {
+		t.Errorf("got %d changes written to the state service in the first 8 s, want at most 120", fleet.changesWritten)
+	}
+	fleet.RunUntil(40 * second)
+	changes, requests := fleet.changesWritten, fleet.storeRequests
+	fleet.RunUntil(60 * second)
+	requestRate, changeRate := float64(fleet.storeRequests-requests)/20, float64(fleet.changesWritten-changes)/20
+	if requestRate > fleet.Options.Config.StoreRPS || changeRate > fleet.Options.Config.StoreWriteRPS {
+		t.Errorf("got %.0f requests and %.0f changes a second, want at most the limits of the state service", requestRate, changeRate)
+	}
+	for at, n := range fleet.roundsByInterval {
+		if n > 26 { // 24 rounds in an interval, and one at each end
+			t.Errorf("got %d scheduling rounds in the report interval from %v, want at most 26", n, at*fleet.Options.Config.ReportInterval)
 		}
 	}
 
-	// The leader crashes: its successor must reach every machine well inside
-	// the lease, without asking all of them at the same moment.
-	before, killed := g.directs, len(g.Checker.Violations)
-	running := g.running()
-	g.atOnce = 0
-	g.Leader().Crash()
-	g.RunUntil(60*second + g.Options.Config.Lease + 2*second)
-	if g.atOnce > 100 {
-		t.Errorf("%d direct commands at the same time", g.atOnce)
+	// The leader crashes. Its successor must reach every machine well before the
+	// machine's lease expires, without querying all of them at the same time.
+	commandsBefore, violationsBefore := fleet.directCommands, len(fleet.Checker.Violations)
+	running := fleet.runningTaskCount()
+	fleet.maxCommandsInFlight = 0
+	fleet.Leader().Crash()
+	fleet.RunUntil(60*second + fleet.Options.Config.Lease + 2*second)
+	if fleet.maxCommandsInFlight > 100 {
+		t.Errorf("got %d direct commands at the same time, want at most 100", fleet.maxCommandsInFlight)
 	}
-	if n := g.directs - before; n > 3*450 {
-		t.Errorf("%d direct commands after the takeover", n)
+	if n := fleet.directCommands - commandsBefore; n > 3*450 {
+		t.Errorf("got %d direct commands after the crash, want at most three for each machine", n)
 	}
-	if now := g.running(); now < running/2 {
-		t.Errorf("%d tasks ran before the crash, %d a lease later", running, now)
+	if runningNow := fleet.runningTaskCount(); runningNow < running/2 {
+		t.Errorf("%d tasks ran before the crash; got %d a lease later, want at least half", running, runningNow)
 	}
-	if len(g.Checker.Violations) > killed {
-		t.Error(g.Checker.Violations)
+	if len(fleet.Checker.Violations) > violationsBefore {
+		t.Error(fleet.Checker.Violations)
 	}
-	if lost := g.lost(); lost > 0 {
-		t.Errorf("%d of 450 machines lost their lease in the takeover", lost)
+	if lost := fleet.lostLeaseCount(); lost > 0 {
+		t.Errorf("got %d of 450 machines whose lease expired in the takeover, want 0", lost)
 	}
 }
 
-// TestGrownZoneCut: a third of a large fleet is cut off. Nothing of it is
-// returned, the rest goes on, and what the zone held runs elsewhere before the
-// cut is over.
-func TestGrownZoneCut(t *testing.T) {
-	g := newGrown(2)
-	g.load(60 * second)
-	g.At(50*second, func() { cutZone(g.Simulation, "c", 40*second, "hold") })
-	g.RunUntil(85 * second)
-	gone := 0
-	for _, m := range g.Cloud.machines {
-		if m.Zone == "c" && m.removed {
-			gone++
+// TestLargeFleetZoneCut cuts off a third of a large fleet. Hardly any machine of the
+// zone may be returned, the other zones go on, and the tasks of the zone must run
+// elsewhere before the cut ends.
+func TestLargeFleetZoneCut(t *testing.T) {
+	fleet := newDefaultFleet(2)
+	fleet.submitLoad(60 * second)
+	fleet.At(50*second, func() { cutZone(fleet.Simulation, "c", 40*second, "hold") })
+	fleet.RunUntil(85 * second)
+	returned := 0
+	for _, machine := range fleet.Cloud.machines {
+		if machine.Zone == "c" && machine.removed {
+			returned++
 		}
 	}
-	if gone > 15 {
-		t.Errorf("%d machines of the zone that was only cut off were returned", gone)
+	if returned > 15 {
+		t.Errorf("got %d machines of the cut zone returned, want at most 15", returned)
 	}
-	for _, id := range sortedKeys(g.Checker.jobs) {
-		if j := g.Checker.jobs[id]; j.spec.Kind == model.KindService && len(j.runningOn) != j.spec.Tasks {
-			t.Errorf("%s: %d of %d replicas run 35 s after the cut", id, len(j.runningOn), j.spec.Tasks)
+	for _, id := range sortedKeys(fleet.Checker.jobs) {
+		if job := fleet.Checker.jobs[id]; job.spec.Kind == model.KindService && len(job.runningOn) != job.spec.Tasks {
+			t.Errorf("%s: got %d replicas running 35 s after the cut, want %d", id, len(job.runningOn), job.spec.Tasks)
 		}
 	}
-	g.RunUntil(130 * second)
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.RunUntil(130 * second)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
-// TestTakenMachinesHoldNobodyUp: a machine that the cloud has taken after notice
-// is returned by name, so that it is surely gone; one that died with the leader
-// is given up after a command in vain. Either once kept every older job of a
-// large fleet waiting after an election.
-func TestTakenMachinesHoldNobodyUp(t *testing.T) {
-	g := newFleet(3, 150)
-	g.load(100 * second)
-	var returned, elected, settled time.Duration
-	g.onReturn(func(host string) {
-		if host == "n-000007" && returned == 0 {
-			returned = g.Now
+// TestLostMachinesDoNotDelayTakeover checks that lost machines don't delay the work
+// after an election. A machine that the cloud reclaimed after notice is returned by
+// name, which makes sure that it is gone. A machine that died with the leader is
+// presumed lost after a command that it doesn't answer. Each of the two once kept
+// all older jobs of a large fleet waiting.
+func TestLostMachinesDoNotDelayTakeover(t *testing.T) {
+	fleet := newLargestDeployment(3, 150)
+	fleet.submitLoad(100 * second)
+	var returnedAt, electedAt, settledAt time.Duration
+	fleet.onReturn(func(host string) {
+		if host == "n-000007" && returnedAt == 0 {
+			returnedAt = fleet.Now
 		}
 	})
-	g.onLog("elected", func() { elected = g.Now })
-	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.At(20*second, func() { g.Cloud.Reclaim("n-000007", 10*second) })
-	g.RunUntil(40 * second)
-	if returned == 0 || returned > 33*second {
-		t.Errorf("the machine taken at 30 s was returned at %v", returned)
-	}
-	g.Cloud.RemoveMachine("n-000008")
-	g.Leader().Crash()
-	g.RunUntil(90 * second)
-	if late := 10 * second; settled < elected || settled-elected > late {
-		t.Errorf("elected at %v, all machines accounted for at %v, want within %v", elected, settled, late)
-	}
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.onLog("elected", func() { electedAt = fleet.Now })
+	fleet.onLog("all machines accounted for", func() { settledAt = fleet.Now })
+	fleet.At(20*second, func() { fleet.Cloud.Reclaim("n-000007", 10*second) })
+	fleet.RunUntil(40 * second)
+	if returnedAt == 0 || returnedAt > 33*second {
+		t.Errorf("got machine that was reclaimed at 30 s returned at %v, want by 33 s", returnedAt)
+	}
+	fleet.Cloud.RemoveMachine("n-000008")
+	fleet.Leader().Crash()
+	fleet.RunUntil(90 * second)
+	if maxDelay := 10 * second; settledAt < electedAt || settledAt-electedAt > maxDelay {
+		t.Errorf("leader elected at %v: got all machines accounted for at %v, want within %v", electedAt, settledAt, maxDelay)
+	}
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
-// TestCutZoneHoldsNobodyElseUp: a zone is cut off as all controllers crash; the
-// next leader answers the other zones and loses the state service, and a few of
-// their machines die just then. Its successor finds those few missing at once,
-// though it asks hundreds of the cut zone's machines in vain, and has all
-// machines accounted for when the cut zone's leases are over.
-func TestCutZoneHoldsNobodyElseUp(t *testing.T) {
+// TestCutZoneDoesNotDelayOtherMachines cuts off a zone as all controllers crash. The
+// next leader reaches the other zones and then loses the state service, and four
+// machines of the other zones die at that time. Its successor must find these four
+// lost within seconds, although the machines of the cut zone don't answer its
+// commands either. It must have all machines accounted for when the leases of the
+// cut zone have expired.
+func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
-	g := growTo(opt, 150)
-	g.load(100 * second)
-	var elected, settled []time.Duration
-	returned := map[string]time.Duration{}
-	g.onReturn(func(host string) { returned[host] = g.Now })
-	g.onLog("elected", func() { elected = append(elected, g.Now) })
-	g.onLog("all machines accounted for", func() { settled = append(settled, g.Now) })
-	g.RunUntil(40 * second)
-	cut := g.Workers[sortedKeys(g.Workers)[0]].info.Zone
-	cutZone(g.Simulation, cut, 60*second, "drop")
-	for _, n := range g.Controllers {
-		n.Crash()
-	}
-	for g.Leader() == nil && g.Now < 60*second {
-		g.RunUntil(g.Now + 50*time.Millisecond)
-	}
-	g.RunUntil(g.Now + second)
-	l := g.Leader()
-	g.Store.UnavailableTo[l.Name] = true
-	for l == g.Leader() {
-		g.RunUntil(g.Now + 50*time.Millisecond)
-	}
-	var dead []string
-	for _, k := range sortedKeys(g.Workers) {
-		if wk := g.Workers[k]; wk.info.Zone != cut && len(dead) < 4 {
-			dead = append(dead, wk.info.Host)
-			g.Cloud.RemoveMachine(wk.info.Host)
+	fleet := growTo(opt, 150)
+	fleet.submitLoad(100 * second)
+	var electedAt, settledAt []time.Duration
+	returnedAt := map[string]time.Duration{}
+	fleet.onReturn(func(host string) { returnedAt[host] = fleet.Now })
+	fleet.onLog("elected", func() { electedAt = append(electedAt, fleet.Now) })
+	fleet.onLog("all machines accounted for", func() { settledAt = append(settledAt, fleet.Now) })
+	fleet.RunUntil(40 * second)
+	zone := fleet.Workers[sortedKeys(fleet.Workers)[0]].info.Zone
+	cutZone(fleet.Simulation, zone, 60*second, "drop")
+	for _, controller := range fleet.Controllers {
+		controller.Crash()
+	}
+	for fleet.Leader() == nil && fleet.Now < 60*second {
+		fleet.RunUntil(fleet.Now + 50*time.Millisecond)
+	}
+	fleet.RunUntil(fleet.Now + second)
+	leader := fleet.Leader()
+	fleet.Store.UnavailableTo[leader.Name] = true
+	for leader == fleet.Leader() {
+		fleet.RunUntil(fleet.Now + 50*time.Millisecond)
+	}
+	var removed []string
+	for _, endpoint := range sortedKeys(fleet.Workers) {
+		if worker := fleet.Workers[endpoint]; worker.info.Zone != zone && len(removed) < 4 {
+			removed = append(removed, worker.info.Host)
+			fleet.Cloud.RemoveMachine(worker.info.Host)
 		}
 	}
-	g.RunUntil(70 * second)
-	if len(elected) != 3 || len(settled) != 2 {
-		t.Fatalf("elected at %v, all machines accounted for at %v", elected, settled)
+	fleet.RunUntil(70 * second)
+	if len(electedAt) != 3 || len(settledAt) != 2 {
+		t.Fatalf("got leaders elected at %v and all machines accounted for at %v, want 3 and 2 times", electedAt, settledAt)
 	}
-	for _, h := range dead {
-		if at := returned[h]; at == 0 || at-elected[2] > 6*second {
-			t.Errorf("%s, which died at the election at %v, was returned at %v", h, elected[2], at)
+	for _, host := range removed {
+		if at := returnedAt[host]; at == 0 || at-electedAt[2] > 6*second {
+			t.Errorf("machine %s died at the election at %v: got it returned at %v, want within 6 s", host, electedAt[2], at)
 		}
 	}
-	if over := elected[1] + opt.Config.Lease + second; settled[1] > over {
-		t.Errorf("all machines accounted for at %v, want at %v, when the leases of the cut zone are over", settled[1], over)
+	if limit := electedAt[1] + opt.Config.Lease + second; settledAt[1] > limit {
+		t.Errorf("got all machines accounted for at %v, want by %v, when the leases of the cut zone have expired", settledAt[1], limit)
 	}
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
 }
 
-// lost counts the machines whose lease has run out since they came up.
-func (g *grown) lost() int {
+// lostLeaseCount returns the number of machines whose lease has expired since they
+// started.
+func (fleet *grown) lostLeaseCount() int {
 	n := 0
-	for _, wk := range g.Workers {
-		if wk.session > 1 {
+	for _, worker := range fleet.Workers {
+		if worker.session > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// TestAllocationsOfReports: what the core allocates for a report that brings
-// nothing new and for its answer is a handful, whatever the size of the fleet.
+// TestAllocationsOfReports checks that the core makes few allocations for a report
+// without new information and its reply, whatever the size of the fleet.
 func TestAllocationsOfReports(t *testing.T) {
-	cost := func(zone int) float64 {
-		g := growTo(DefaultOptions(2), zone)
-		g.load(20 * second)
-		g.RunUntil(20 * second)
-		n, wk := g.Leader(), g.Workers[sortedKeys(g.Workers)[7]]
+	allocations := func(machinesPerZone int) float64 {
+		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		fleet.submitLoad(20 * second)
+		fleet.RunUntil(20 * second)
+		leader, worker := fleet.Leader(), fleet.Workers[sortedKeys(fleet.Workers)[7]]
 		reports := make([]model.Report, 201)
 		for i := range reports {
-			reports[i] = wk.nextReport()
+			reports[i] = worker.nextReport()
 		}
 		i := 0
 		return testing.AllocsPerRun(200, func() {
-			out := n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
+			effects := leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
 			i++
-			if len(out) == 0 {
-				t.Fatal("no answer at once")
+			if len(effects) == 0 {
+				t.Fatal("got no reply in the same step, want one")
 			}
 		})
 	}
-	small, large := cost(50), cost(150)
+	small, large := allocations(50), allocations(150)
 	if small > 12 || large > small+8 {
-		t.Errorf("%v allocations a report with 150 machines, %v with 450", small, large)
+		t.Errorf("got %v allocations for each report with 150 machines and %v with 450, want at most 12 and at most 8 more", small, large)
 	}
 }
 
-// TestAllocationsOfRounds: rounds of decisions and ticks that find nothing to do,
-// while a job waits that fits nowhere now, go over all machines, but allocate less
-// than once for each.
+// TestAllocationsOfRounds checks scheduling rounds and ticks that find nothing to do
+// while a job waits that fits on no machine. They go over all machines, but may make
+// at most one allocation for each.
 func TestAllocationsOfRounds(t *testing.T) {
-	cost := func(zone int) float64 {
-		g := growTo(DefaultOptions(2), zone)
-		for i := range zone { // each takes three machines
-			g.At(second, func() { g.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
+	allocations := func(machinesPerZone int) float64 {
+		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		for i := range machinesPerZone { // each takes three machines
+			fleet.At(second, func() { fleet.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
 		}
-		g.At(30*second, func() {
-			j := batchJob("req-900000", 4)
-			g.Users.Submit(j, 10*second)
+		fleet.At(30*second, func() {
+			job := batchJob("req-900000", 4)
+			fleet.Users.Submit(job, 10*second)
 		})
-		g.RunUntil(40 * second)
-		n := g.Leader()
-		made := func() (all int) {
-			for _, n := range g.rounds {
-				all += n
+		fleet.RunUntil(40 * second)
+		leader := fleet.Leader()
+		roundCount := func() (total int) {
+			for _, n := range fleet.roundsByInterval {
+				total += n
 			}
-			return all
+			return total
 		}
-		now, before := n.monotonicNow(), made()
-		each := testing.AllocsPerRun(4, func() { // and once before
-			now += g.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
-			n.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
+		now, roundsBefore := leader.monotonicNow(), roundCount()
+		perRound := testing.AllocsPerRun(4, func() { // AllocsPerRun calls it once more, before the measurement
+			now += fleet.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
+			leader.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
 		})
-		if got := made() - before; got < 5 || !n.State.IsLeaderAt(now) {
-			t.Fatalf("%d rounds in 5 ticks, leading: %v", got, n.State.IsLeaderAt(now))
+		if got := roundCount() - roundsBefore; got < 5 || !leader.State.IsLeaderAt(now) {
+			t.Fatalf("got %d rounds in 5 ticks and leading %v, want at least 5 and leading", got, leader.State.IsLeaderAt(now))
 		}
-		return each
+		return perRound
 	}
-	small, large := cost(50), cost(150)
+	small, large := allocations(50), allocations(150)
 	if small > 150 || large > 450 {
-		t.Errorf("%v allocations a tick and round with 150 machines, %v with 450", small, large)
+		t.Errorf("got %v allocations for each tick and round with 150 machines and %v with 450, want at most 150 and 450", small, large)
 	}
 }
 
-// TestFleet is a day of some 2,000 machines: it starts, serves, loses its
-// leader, then all controllers, which are back within a moment and crash again
-// inside the election, and a hundred machines hang for longer than their lease.
-// Requests carried out and reports come again, late, all day. What each of this
-// asks of the state service and of the sockets is bounded.
-func TestFleet(t *testing.T) {
+// TestLargestDeployment runs 2,100 machines through a start, ordinary load, a crash of
+// the leader, a crash of all controllers, which restart at once and crash again
+// during the election, and a pause of a hundred machines for longer than their
+// lease. During all of it, some requests and reports arrive a second time, late. The
+// test bounds the load on the state service and the number of concurrent connections
+// to workers.
+func TestLargestDeployment(t *testing.T) {
 	t.Parallel()
-	g := newFleet(1, 700)
-	g.RepeatFraction, g.LateReportCopyFraction = 0.03, 0.03
-	watchLeaders(g.Simulation)
-	g.load(150 * second)
-	c := g.Options.Config
+	fleet := newLargestDeployment(1, 700)
+	fleet.RepeatFraction, fleet.LateReportCopyFraction = 0.03, 0.03
+	watchLeaders(fleet.Simulation)
+	fleet.submitLoad(150 * second)
+	config := fleet.Options.Config
 
-	g.RunUntil(15 * second)
-	if n := len(g.Workers); n != g.machines {
-		t.Fatalf("%d machines are up, want %d", n, g.machines)
+	fleet.RunUntil(15 * second)
+	if n := len(fleet.Workers); n != fleet.machines {
+		t.Fatalf("got %d machines up, want %d", n, fleet.machines)
 	}
-	if on := g.running(); on < 150 {
-		t.Errorf("%d tasks run 15 s after the start: the machines aren't of use yet", on)
+	if running := fleet.runningTaskCount(); running < 150 {
+		t.Errorf("got %d tasks running 15 s after the start, want at least 150", running)
 	}
-	if g.puts > g.machines/4 { // a page holds 27 machines, and is written again as it fills
-		t.Errorf("%d changes written to the state service in the first 15 s", g.puts)
+	if fleet.changesWritten > fleet.machines/4 { // a registry page holds 27 machines and is rewritten as it fills
+		t.Errorf("got %d changes written to the state service in the first 15 s, want at most one for four machines", fleet.changesWritten)
 	}
 
-	puts, requests := g.puts, g.requests
-	g.RunUntil(35 * second)
-	if rps, wps := float64(g.requests-requests)/20, float64(g.puts-puts)/20; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
-		t.Errorf("%.0f requests and %.0f changes a second on an ordinary day", rps, wps)
+	changes, requests := fleet.changesWritten, fleet.storeRequests
+	fleet.RunUntil(35 * second)
+	if requestRate, changeRate := float64(fleet.storeRequests-requests)/20, float64(fleet.changesWritten-changes)/20; requestRate > config.StoreRPS/2 || changeRate > config.StoreWriteRPS/2 {
+		t.Errorf("got %.0f requests and %.0f changes a second under ordinary load, want at most half of the limits", requestRate, changeRate)
 	}
 
-	takeover := func(what string, elections int, until time.Duration) {
+	takeover := func(stage string, elections int, until time.Duration) {
 		t.Helper()
-		directs, lost, running := g.directs, g.lost(), g.running()
-		puts, requests, from := g.puts, g.requests, g.Now
-		g.atOnce = 0
-		g.RunUntil(until)
-		took := (g.Now - from).Seconds()
-		if g.atOnce > c.MaxDirectCommands*3/2 { // of three controllers, one leads at a time
-			t.Errorf("%s: %d direct commands at the same time", what, g.atOnce)
+		commands, lost, running := fleet.directCommands, fleet.lostLeaseCount(), fleet.runningTaskCount()
+		changes, requests, from := fleet.changesWritten, fleet.storeRequests, fleet.Now
+		fleet.maxCommandsInFlight = 0
+		fleet.RunUntil(until)
+		elapsedSeconds := (fleet.Now - from).Seconds()
+		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // counted over all three controllers, of which one leads at a time
+			t.Errorf("%s: got %d direct commands at the same time, want at most 3/2 of the limit", stage, fleet.maxCommandsInFlight)
 		}
-		if n := g.directs - directs; n > 3*elections*g.machines {
-			t.Errorf("%s: %d direct commands", what, n)
+		if n := fleet.directCommands - commands; n > 3*elections*fleet.machines {
+			t.Errorf("%s: got %d direct commands, want at most three for each machine and election", stage, n)
 		}
-		if rps, wps := float64(g.requests-requests)/took, float64(g.puts-puts)/took; rps > c.StoreRPS/2 || wps > c.StoreWriteRPS/2 {
-			t.Errorf("%s: %.0f requests and %.0f changes a second", what, rps, wps)
+		if requestRate, changeRate := float64(fleet.storeRequests-requests)/elapsedSeconds, float64(fleet.changesWritten-changes)/elapsedSeconds; requestRate > config.StoreRPS/2 || changeRate > config.StoreWriteRPS/2 {
+			t.Errorf("%s: got %.0f requests and %.0f changes a second, want at most half of the limits", stage, requestRate, changeRate)
 		}
-		if n := g.lost() - lost; n > 0 {
-			t.Errorf("%s: %d machines lost their lease", what, n)
+		if n := fleet.lostLeaseCount() - lost; n > 0 {
+			t.Errorf("%s: got %d machines whose lease expired, want 0", stage, n)
 		}
-		if now := g.running(); now < running*3/4 {
-			t.Errorf("%s: %d tasks ran before, %d now", what, running, now)
+		if runningNow := fleet.runningTaskCount(); runningNow < running*3/4 {
+			t.Errorf("%s: %d tasks ran before; got %d afterwards, want at least three quarters", stage, running, runningNow)
 		}
 	}
-	g.Leader().Crash()
+	fleet.Leader().Crash()
 	takeover("the leader crashes", 1, 75*second)
 
-	for _, n := range g.Controllers {
-		n.CrashFor(300 * time.Millisecond)
+	for _, controller := range fleet.Controllers {
+		controller.CrashFor(300 * time.Millisecond)
 	}
-	for i, n := range g.Controllers {
-		g.After(time.Duration(6000+400*i)*time.Millisecond, func() { n.CrashFor(200 * time.Millisecond) })
+	for i, controller := range fleet.Controllers {
+		fleet.After(time.Duration(6000+400*i)*time.Millisecond, func() { controller.CrashFor(200 * time.Millisecond) })
 	}
-	takeover("all crash, again inside the election", 2, 115*second)
+	takeover("all controllers crash, and again during the election", 2, 115*second)
 
-	hung := sortedKeys(g.Workers)[300:400]
-	for _, e := range hung {
-		g.Workers[e].Pause(40 * second)
-	}
-	g.RunUntil(185 * second)
-	back := 0
-	for _, e := range hung {
-		if wk := g.Workers[e]; wk != nil && wk.epoch > 0 && g.Now < wk.leaseStartedAt+c.Lease {
-			back++
+	paused := sortedKeys(fleet.Workers)[300:400]
+	for _, endpoint := range paused {
+		fleet.Workers[endpoint].Pause(40 * second)
+	}
+	fleet.RunUntil(185 * second)
+	reconnected := 0
+	for _, endpoint := range paused {
+		if worker := fleet.Workers[endpoint]; worker != nil && worker.epoch > 0 && fleet.Now < worker.leaseStartedAt+config.Lease {
+			reconnected++
 		}
 	}
-	if back < len(hung)*3/4 {
-		t.Errorf("of %d machines that hung for longer than their lease %d are back", len(hung), back)
+	if reconnected < len(paused)*3/4 {
+		t.Errorf("%d machines paused for longer than their lease: got %d reconnected, want at least three quarters", len(paused), reconnected)
 	}
-	g.RepeatFraction, g.LateReportCopyFraction = 0, 0
-	g.Checker.CheckKnown(75 * second)
-	g.RunUntil(262 * second)
-	g.Checker.CheckServed()
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	fleet.RepeatFraction, fleet.LateReportCopyFraction = 0, 0
+	fleet.Checker.CheckKnown(75 * second)
+	fleet.RunUntil(262 * second)
+	fleet.Checker.CheckServed()
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
-	if accepted, done := g.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
-		t.Errorf("%d of %d jobs done at the end of the day", done, accepted)
+	if accepted, done := fleet.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
+		t.Errorf("got %d of %d accepted jobs done at the end, want all of at least 50", done, accepted)
 	}
 }
 
-// fleetCounts are what may not grow with the fleet.
-type fleetCounts struct {
-	machines          int
-	allocsPerReport   float64       // of the leader
-	looksPerMachine   float64       // until a takeover is settled
-	directsPerMachine float64       // of the takeover
-	settledAfter      time.Duration // the election
-	changes           float64       // in the state service, in 30 s
-	changesTakeover   float64       // in the 20 s after the leader's end
-	requestsPerSecond float64       // to it, in these
-	leastMargin       time.Duration // of the tasks of cancelled jobs
-	leasesLost        int
+// fleetWork holds measures of the controllers' work that may not grow with the
+// fleet.
+type fleetWork struct {
+	machines                  int
+	allocsPerReport           float64       // by the leader
+	scansPerMachine           float64       // from the election until all machines are accounted for
+	commandsPerMachine        float64       // direct commands in the 20 s after the crash of the leader
+	takeoverDuration          time.Duration // from the election until all machines are accounted for
+	steadyChanges             float64       // changes written to the state service in 30 s of ordinary load
+	takeoverChanges           float64       // changes written in the 20 s after the crash
+	takeoverRequestsPerSecond float64       // requests to the state service in these 20 s
+	leastCancelMargin         time.Duration // least time left of cancel_s when a task of a cancelled job was gone
+	leasesLost                int
 }
 
-// countWork plays a minute of a fleet whose leader ends as jobs are cancelled.
-func countWork(t *testing.T, zone int) fleetCounts {
-	g := newFleet(1, zone)
-	g.load(60 * second)
-	var elected, settled time.Duration
-	g.onLog("elected", func() { elected = g.Now })
-	g.onLog("all machines accounted for", func() { settled = g.Now })
-	g.RunUntil(20 * second)
-	puts := g.puts
-	g.RunUntil(50 * second)
-	c := fleetCounts{machines: g.machines, changes: float64(g.puts - puts)}
-	puts, requests, directs := g.puts, g.requests, g.directs
-	g.cancelNow(10, 0)
-	g.Leader().Crash()
-	g.RunUntil(70 * second)
-	n := g.Leader()
-	if n == nil {
-		t.Fatal("nobody leads")
-	}
-	c.changesTakeover, c.requestsPerSecond = float64(g.puts-puts), float64(g.requests-requests)/20
-	c.looksPerMachine = float64(n.State.MachinesScanned()) / float64(g.machines)
-	c.directsPerMachine = float64(g.directs-directs) / float64(g.machines)
-	c.settledAfter, c.leastMargin, c.leasesLost = settled-elected, g.Checker.LeastMargin, g.lost()
-	wk := g.Workers[sortedKeys(g.Workers)[zone]]
-	rep := wk.nextReport()
-	c.allocsPerReport = testing.AllocsPerRun(100, func() {
-		rep.Seq++
-		n.State.Step(n.monotonicNow(), core.WorkerReport{RequestID: 1, Report: rep})
+// measureFleetWork runs a fleet for 70 s. At 50 s ten jobs are cancelled and the
+// leader crashes.
+func measureFleetWork(t *testing.T, machinesPerZone int) fleetWork {
+	fleet := newLargestDeployment(1, machinesPerZone)
+	fleet.submitLoad(60 * second)
+	var electedAt, settledAt time.Duration
+	fleet.onLog("elected", func() { electedAt = fleet.Now })
+	fleet.onLog("all machines accounted for", func() { settledAt = fleet.Now })
+	fleet.RunUntil(20 * second)
+	changes := fleet.changesWritten
+	fleet.RunUntil(50 * second)
+	work := fleetWork{machines: fleet.machines, steadyChanges: float64(fleet.changesWritten - changes)}
+	changes, requests, commands := fleet.changesWritten, fleet.storeRequests, fleet.directCommands
+	fleet.cancelRunningJobs(10, 0)
+	fleet.Leader().Crash()
+	fleet.RunUntil(70 * second)
+	leader := fleet.Leader()
+	if leader == nil {
+		t.Fatal("got no leader 20 s after the crash")
+	}
+	work.takeoverChanges, work.takeoverRequestsPerSecond = float64(fleet.changesWritten-changes), float64(fleet.storeRequests-requests)/20
+	work.scansPerMachine = float64(leader.State.MachinesScanned()) / float64(fleet.machines)
+	work.commandsPerMachine = float64(fleet.directCommands-commands) / float64(fleet.machines)
+	work.takeoverDuration, work.leastCancelMargin, work.leasesLost = settledAt-electedAt, fleet.Checker.LeastMargin, fleet.lostLeaseCount()
+	worker := fleet.Workers[sortedKeys(fleet.Workers)[machinesPerZone]]
+	report := worker.nextReport()
+	work.allocsPerReport = testing.AllocsPerRun(100, func() {
+		report.Seq++
+		leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: report})
 	})
-	for _, b := range g.Checker.Violations {
-		t.Error(b)
+	for _, violation := range fleet.Checker.Violations {
+		t.Error(violation)
 	}
-	return c
+	return work
 }
 
-// TestWorkByFleetSize counts, at 500 to 4,000 machines with the same load, what may
-// not grow with the fleet: the leader's work on one report, the machines that it looks
-// at and asks until a takeover is settled (by machine), and what it writes on an
-// ordinary day. With 4,000 the takeover keeps to the state service's rates and to the
-// leases, and tasks cancelled in it are gone in time.
+// TestWorkByFleetSize runs fleets of 500 to 4,000 machines with the same load. It
+// bounds what may not grow with the fleet: the leader's allocations for one report,
+// the scans of each machine and the commands to each machine in a takeover, and the
+// changes written under ordinary load. In a takeover with 4,000 machines no lease
+// expires, the load on the state service stays below its limits, and the tasks of
+// jobs that are cancelled meanwhile are gone in time.
 func TestWorkByFleetSize(t *testing.T) {
 	limits := largest(1).Config
-	var smallest fleetCounts
-	for i, zone := range []int{167, 333, 667, 1334} {
-		c := countWork(t, zone)
-		t.Logf("%+v", c)
+	var smallest fleetWork
+	for i, machinesPerZone := range []int{167, 333, 667, 1334} {
+		work := measureFleetWork(t, machinesPerZone)
+		t.Logf("%+v", work)
 		if i == 0 {
-			smallest = c
+			smallest = work
 		}
-		if c.allocsPerReport > smallest.allocsPerReport+2 {
-			t.Errorf("%d machines: a report takes %.0f allocations, %.0f in the smallest fleet", c.machines, c.allocsPerReport, smallest.allocsPerReport)
+		if work.allocsPerReport > smallest.allocsPerReport+2 {
+			t.Errorf("%d machines: got %.0f allocations for a report, want at most 2 more than the %.0f of the smallest fleet", work.machines, work.allocsPerReport, smallest.allocsPerReport)
 		}
-		if c.looksPerMachine > 6 || c.directsPerMachine > 3 {
-			t.Errorf("%d machines: %.1f looks and %.1f commands a machine until a takeover is settled", c.machines, c.looksPerMachine, c.directsPerMachine)
+		if work.scansPerMachine > 6 || work.commandsPerMachine > 3 {
+			t.Errorf("%d machines: got %.1f scans and %.1f commands for each machine in a takeover, want at most 6 and 3", work.machines, work.scansPerMachine, work.commandsPerMachine)
 		}
-		if c.changes > 1.5*smallest.changes {
-			t.Errorf("%d machines: %.0f changes in 30 s, %.0f in the smallest fleet", c.machines, c.changes, smallest.changes)
+		if work.steadyChanges > 1.5*smallest.steadyChanges {
+			t.Errorf("%d machines: got %.0f changes in 30 s, want at most 1.5 times the %.0f of the smallest fleet", work.machines, work.steadyChanges, smallest.steadyChanges)
 		}
-		if c.settledAfter <= 0 || c.settledAfter > limits.Lease/2 || c.leasesLost > 0 {
-			t.Errorf("%d machines: all accounted for %v after the election, %d leases lost", c.machines, c.settledAfter, c.leasesLost)
+		if work.takeoverDuration <= 0 || work.takeoverDuration > limits.Lease/2 || work.leasesLost > 0 {
+			t.Errorf("%d machines: got all accounted for %v after the election and %d expired leases, want at most half a lease and none", work.machines, work.takeoverDuration, work.leasesLost)
 		}
-		if c.requestsPerSecond > limits.StoreRPS/2 || c.changesTakeover > 20*limits.StoreWriteRPS/2 {
-			t.Errorf("%d machines: %.0f requests a second and %.0f changes in a takeover", c.machines, c.requestsPerSecond, c.changesTakeover)
+		if work.takeoverRequestsPerSecond > limits.StoreRPS/2 || work.takeoverChanges > 20*limits.StoreWriteRPS/2 {
+			t.Errorf("%d machines: got %.0f requests a second and %.0f changes in a takeover, want at most half of the limits", work.machines, work.takeoverRequestsPerSecond, work.takeoverChanges)
 		}
-		if c.leastMargin < limits.CancelWithin-limits.Lease {
-			t.Errorf("%d machines: tasks cancelled in the takeover were gone %v before the time allowed was over", c.machines, c.leastMargin)
+		if work.leastCancelMargin < limits.CancelWithin-limits.Lease {
+			t.Errorf("%d machines: got cancelled tasks gone %v before the end of cancel_s, want at least cancel_s less the lease", work.machines, work.leastCancelMargin)
 		}
 	}
 }
 
-// onLog calls f whenever a controller logs a text.
-func (g *grown) onLog(text string, f func()) {
-	before := g.Options.Tamper
-	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-		if l, ok := e.(core.Log); ok && l.Text == text {
+// onLog calls f whenever a controller logs the given text.
+func (fleet *grown) onLog(text string, f func()) {
+	previous := fleet.Options.Tamper
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		if entry, ok := effect.(core.Log); ok && entry.Text == text {
 			f()
 		}
-		return before(w, n, e)
+		return previous(sim, controller, effect)
 	}
 }
 
-// onReturn calls f for each machine that a controller asks the cloud to take back.
-func (g *grown) onReturn(f func(host string)) {
-	before := g.Options.Tamper
-	g.Options.Tamper = func(w *Simulation, n *Controller, e core.Effect) core.Effect {
-		if c, ok := e.(core.CloudCall); ok && c.Op == core.CloudReturn {
-			for _, h := range c.Hosts {
-				f(h)
+// onReturn calls f for each machine that a controller returns to the cloud.
+func (fleet *grown) onReturn(f func(host string)) {
+	previous := fleet.Options.Tamper
+	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+		if call, ok := effect.(core.CloudCall); ok && call.Op == core.CloudReturn {
+			for _, host := range call.Hosts {
+				f(host)
 			}
 		}
-		return before(w, n, e)
+		return previous(sim, controller, effect)
 	}
 }
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -9,192 +9,201 @@
 	"time"
 )
 
-// randomFrom and randomDays choose the seeds of the days with troubles drawn at
-// random. Searches play thousands.
+// firstRandomSeed and randomScenarioCount choose the seeds of the scenarios with
+// random faults. Searches run thousands of them.
 var (
-	randomFrom = flag.Int("random-from", 1, "first seed of the random days that are played besides the kept ones")
-	randomDays = flag.Int("random-days", 9, "how many of them")
+	firstRandomSeed     = flag.Int("random-from", 1, "first seed of the random scenarios that run besides the regression seeds")
+	randomScenarioCount = flag.Int("random-days", 9, "number of random scenarios that run besides the regression seeds")
 )
 
-// randomDay is a day whose troubles are drawn from its seed.
-type randomDay struct {
+// randomScenario is a simulation of a large fleet with faults drawn from its seed.
+type randomScenario struct {
 	*grown
-	drawn []string
+	drawnFaults []string // descriptions for failure messages
 }
 
-// between draws a time.
-func (d *randomDay) between(from, to float64) time.Duration {
-	return time.Duration((from + d.Rand.Float64()*(to-from)) * float64(time.Second))
+// durationBetween draws a duration between two numbers of seconds.
+func (scenario *randomScenario) durationBetween(from, to float64) time.Duration {
+	return time.Duration((from + scenario.Rand.Float64()*(to-from)) * float64(time.Second))
 }
 
-// note keeps what was drawn, for whoever reads a failure.
-func (d *randomDay) note(format string, args ...any) {
-	d.drawn = append(d.drawn, fmt.Sprintf(format, args...))
+// recordDraw adds a description of a drawn fault to those that failure messages show.
+func (scenario *randomScenario) recordDraw(format string, args ...any) {
+	scenario.drawnFaults = append(scenario.drawnFaults, fmt.Sprintf(format, args...))
 }
 
-// some calls f at a time for a third of the machines, and undo a while later.
-func (d *randomDay) some(from, length time.Duration, f, undo func(wk *Worker)) {
-	d.At(from, func() {
-		for _, h := range sortedKeys(d.Workers) {
-			if wk := d.Workers[h]; d.Rand.IntN(3) == 0 {
-				f(wk)
-				d.After(length, func() { undo(wk) })
+// applyToSomeMachines calls f at the given time for a random third of the machines,
+// and undo for each of them after the given length.
+func (scenario *randomScenario) applyToSomeMachines(from, length time.Duration, f, undo func(worker *Worker)) {
+	scenario.At(from, func() {
+		for _, endpoint := range sortedKeys(scenario.Workers) {
+			if worker := scenario.Workers[endpoint]; scenario.Rand.IntN(3) == 0 {
+				f(worker)
+				scenario.After(length, func() { undo(worker) })
 			}
 		}
 	})
 }
 
-// leadersEnd ends n leaders one after the other.
-func (d *randomDay) leadersEnd(from time.Duration, n int) {
+// crashLeaders crashes n leaders one after the other, 3 to 13 s apart.
+func (scenario *randomScenario) crashLeaders(from time.Duration, n int) {
 	for range n {
-		restart := d.between(0.2, 3)
-		d.At(from, func() { d.crashLeader(restart) })
-		from += d.between(3, 13)
+		restartDelay := scenario.durationBetween(0.2, 3)
+		scenario.At(from, func() { scenario.crashLeader(restartDelay) })
+		from += scenario.durationBetween(3, 13)
 	}
 }
 
-// randomTroubles are those of which each day draws some.
-var randomTroubles = []struct {
-	name  string
-	begin func(d *randomDay, from, length time.Duration)
+// randomFaults are the faults from which each scenario draws three.
+var randomFaults = []struct {
+	name   string
+	inject func(scenario *randomScenario, from, length time.Duration)
 }{
-	{"leaders end", func(d *randomDay, from, _ time.Duration) { d.leadersEnd(from, 1+d.Rand.IntN(8)) }},
-	{"all controllers end", func(d *randomDay, from, _ time.Duration) {
-		restart := d.between(0.2, 8)
-		d.At(from, func() {
-			for _, n := range d.Controllers {
-				n.CrashFor(restart)
+	{"leaders crash", func(scenario *randomScenario, from, _ time.Duration) {
+		scenario.crashLeaders(from, 1+scenario.Rand.IntN(8))
+	}},
+	{"all controllers crash", func(scenario *randomScenario, from, _ time.Duration) {
+		restartDelay := scenario.durationBetween(0.2, 8)
+		scenario.At(from, func() {
+			for _, controller := range scenario.Controllers {
+				controller.CrashFor(restartDelay)
 			}
 		})
 	}},
-	{"the leader stands still", func(d *randomDay, from, _ time.Duration) {
-		for range 1 + d.Rand.IntN(4) {
-			length := d.between(2, 12)
-			d.At(from, func() {
-				if l := d.Leader(); l != nil {
-					l.Pause(length)
+	{"the leader is paused", func(scenario *randomScenario, from, _ time.Duration) {
+		for range 1 + scenario.Rand.IntN(4) {
+			length := scenario.durationBetween(2, 12)
+			scenario.At(from, func() {
+				if leader := scenario.Leader(); leader != nil {
+					leader.Pause(length)
 				}
 			})
-			from += d.between(6, 16)
+			from += scenario.durationBetween(6, 16)
 		}
 	}},
-	{"slow controllers", func(d *randomDay, from, length time.Duration) {
-		work := d.between(0.001, 0.02)
-		for _, n := range d.Controllers {
-			d.At(from, func() { n.StepDuration = work })
-			d.At(from+length, func() { n.StepDuration = 0 })
+	{"slow controllers", func(scenario *randomScenario, from, length time.Duration) {
+		stepDuration := scenario.durationBetween(0.001, 0.02)
+		for _, controller := range scenario.Controllers {
+			scenario.At(from, func() { controller.StepDuration = stepDuration })
+			scenario.At(from+length, func() { controller.StepDuration = 0 })
 		}
 	}},
-	{"the leader is refused", func(d *randomDay, from, length time.Duration) { d.At(from, func() { d.refuseLeader(length) }) }},
-	{"outage", func(d *randomDay, from, length time.Duration) { d.outage(from, from+length) }},
-	{"the leader keeps only its workers", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() {
-			if l := d.Leader(); l != nil {
-				alone(d.Simulation, l, length)
+	{"the state service refuses the leader", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.makeStoreUnavailableToLeader(length) })
+	}},
+	{"the state service is out", func(scenario *randomScenario, from, length time.Duration) { scenario.outage(from, from+length) }},
+	{"the leader can reach only workers and users", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() {
+			if leader := scenario.Leader(); leader != nil {
+				alone(scenario.Simulation, leader, length)
 			}
 		})
 	}},
-	{"machines hang", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) {
-			if !wk.Paused {
-				wk.Pause(length)
+	{"machines pause", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) {
+			if !worker.Paused {
+				worker.Pause(length)
 			}
 		}, func(*Worker) {})
 	}},
-	{"deaf machines", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) { wk.CannotReceive = true }, func(wk *Worker) { wk.CannotReceive = false })
+	{"controllers can't reach machines", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { worker.CannotReceive = true }, func(worker *Worker) { worker.CannotReceive = false })
 	}},
-	{"mute machines", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) { wk.CannotReport = true }, func(wk *Worker) { wk.CannotReport = false })
+	{"machines can't reach controllers", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { worker.CannotReport = true }, func(worker *Worker) { worker.CannotReport = false })
 	}},
-	{"machines cut off", func(d *randomDay, from, length time.Duration) {
-		d.some(from, length, func(wk *Worker) { d.cutOff(wk, length, "hold") }, func(*Worker) {})
+	{"machines are cut off", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { scenario.cutOff(worker, length, "hold") }, func(*Worker) {})
 	}},
-	{"the cloud is out", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.Cloud.Unavailable = true })
-		d.At(from+length, func() { d.Cloud.Unavailable = false })
+	{"the cloud is out", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.Cloud.Unavailable = true })
+		scenario.At(from+length, func() { scenario.Cloud.Unavailable = false })
 	}},
-	{"late commands", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.LateCommandFraction = 0.5 })
-		d.At(from+length, func() { d.LateCommandFraction = 0 })
+	{"commands arrive late", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.LateCommandFraction = 0.5 })
+		scenario.At(from+length, func() { scenario.LateCommandFraction = 0 })
 	}},
-	{"late reports", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.LateReportCopyFraction = 0.3 })
-		d.At(from+length, func() { d.LateReportCopyFraction = 0 })
+	{"copies of reports arrive late", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() { scenario.LateReportCopyFraction = 0.3 })
+		scenario.At(from+length, func() { scenario.LateReportCopyFraction = 0 })
 	}},
-	{"late writes", func(d *randomDay, from, length time.Duration) {
-		d.At(from, func() { d.Store.UnansweredFraction, d.Store.ApplyUnansweredAtOnce = 0.3, d.Rand.IntN(2) == 0 })
-		d.At(from+length, func() { d.Store.UnansweredFraction = 0 })
+	{"replies to writes are lost, and the writes may be applied late", func(scenario *randomScenario, from, length time.Duration) {
+		scenario.At(from, func() {
+			scenario.Store.UnansweredFraction, scenario.Store.ApplyUnansweredAtOnce = 0.3, scenario.Rand.IntN(2) == 0
+		})
+		scenario.At(from+length, func() { scenario.Store.UnansweredFraction = 0 })
 	}},
 }
 
-// newRandomDay draws a day: jobs are cancelled after a minute, half of the time as
-// their machines hang, and three troubles begin around that. On every third day the
-// leader changes ten times in two minutes while commands are late.
-func newRandomDay(seed uint64) *randomDay {
-	d := &randomDay{grown: growTo(largest(seed), 20)}
-	d.Users.ProbesAllControllers = true
+// newRandomScenario draws a scenario from a seed. Jobs are cancelled at 60 s, about
+// half of the time while their machines pause, and again 2 to 20 s later. Three
+// faults start between 50 and 85 s. With every third seed, in addition, the leader
+// crashes ten times in about two minutes while half of the commands arrive late.
+func newRandomScenario(seed uint64) *randomScenario {
+	scenario := &randomScenario{grown: growTo(largest(seed), 20)}
+	scenario.Users.ProbesAllControllers = true
 	for i := range 24 {
-		j := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
-		j.Class = "long"
-		d.At(time.Duration(2+i)*second, func() { d.Users.Submit(j, 300*second) })
+		job := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
+		job.Class = "long"
+		scenario.At(time.Duration(2+i)*second, func() { scenario.Users.Submit(job, 300*second) })
 	}
-	hang := max(0, d.between(-25, 30))
-	d.note("cancelled at 60 s, machines hang for %v", hang)
-	d.At(60*second, func() { d.cancelNow(10, hang) })
-	again := 60*second + d.between(2, 20)
-	d.At(again, func() { d.cancelNow(6, 0) })
+	pauseFor := max(0, scenario.durationBetween(-25, 30))
+	scenario.recordDraw("jobs cancelled at 60 s, their machines paused for %v", pauseFor)
+	scenario.At(60*second, func() { scenario.cancelRunningJobs(10, pauseFor) })
+	secondCancelAt := 60*second + scenario.durationBetween(2, 20)
+	scenario.At(secondCancelAt, func() { scenario.cancelRunningJobs(6, 0) })
 	if seed%3 == 0 {
-		from := 60*second + d.between(-8, 3)
-		d.note("%v: ten changes, late commands", from)
-		d.leadersEnd(from, 10)
-		d.At(from, func() { d.LateCommandFraction = 0.5 })
-		d.At(from+120*second, func() { d.LateCommandFraction = 0 })
+		from := 60*second + scenario.durationBetween(-8, 3)
+		scenario.recordDraw("%v: ten leader crashes, late commands", from)
+		scenario.crashLeaders(from, 10)
+		scenario.At(from, func() { scenario.LateCommandFraction = 0.5 })
+		scenario.At(from+120*second, func() { scenario.LateCommandFraction = 0 })
 	}
 	for range 3 {
-		trouble := randomTroubles[d.Rand.IntN(len(randomTroubles))]
-		from, length := d.between(50, 85), d.between(3, 45)
-		d.note("%v: %s for %v", from, trouble.name, length)
-		trouble.begin(d, from, length)
+		fault := randomFaults[scenario.Rand.IntN(len(randomFaults))]
+		from, length := scenario.durationBetween(50, 85), scenario.durationBetween(3, 45)
+		scenario.recordDraw("%v: %s for %v", from, fault.name, length)
+		fault.inject(scenario, from, length)
 	}
-	return d
+	return scenario
 }
 
-// tellingRandomDays are seeds whose days once broke a rule, and what it was.
-var tellingRandomDays = map[uint64]string{
-	2031: "ran_cancelled: leases renewed by answers without the stop",
-	2613: "ran_cancelled: the same, with slow controllers and late writes",
-	2638: "ran_twice: a leader elected again relied on a note that it had never written",
+// randomRegressionSeeds are seeds with which a rule was once violated, each with the
+// rule and the cause.
+var randomRegressionSeeds = map[uint64]string{
+	2031: "ran_cancelled: replies without the stop order renewed leases",
+	2613: "ran_cancelled: replies without the stop order renewed leases, with slow controllers and late writes",
+	2638: "ran_twice: a re-elected leader relied on a last-contact time that it had never written",
 }
 
-// TestRandomTroubles plays days whose troubles are drawn at random while jobs are
-// cancelled, at the settings of the largest deployments, and tells how near they
-// came to breaking ran_cancelled.
-func TestRandomTroubles(t *testing.T) {
-	played := sortedSeeds(tellingRandomDays)
-	for i := range *randomDays {
-		played = append(played, uint64(*randomFrom+i))
+// TestRandomFaults injects random faults while jobs are cancelled, with the settings
+// of the largest deployments. It logs the least time that was left of cancel_s when a
+// task of a cancelled job was gone.
+func TestRandomFaults(t *testing.T) {
+	seeds := sortedSeeds(randomRegressionSeeds)
+	for i := range *randomScenarioCount {
+		seeds = append(seeds, uint64(*firstRandomSeed+i))
 	}
-	for _, seed := range played {
+	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := newRandomDay(seed)
-			watchLeaders(d.Simulation)
-			d.RunUntil(180 * second)
-			for _, b := range d.Checker.Violations {
-				t.Errorf("%s (%s)", b, strings.Join(d.drawn, "; "))
+			scenario := newRandomScenario(seed)
+			watchLeaders(scenario.Simulation)
+			scenario.RunUntil(180 * second)
+			for _, violation := range scenario.Checker.Violations {
+				t.Errorf("%s (%s)", violation, strings.Join(scenario.drawnFaults, "; "))
 			}
-			if tellingRandomDays[seed] != "" && d.Checker.CancelledTasksStopped == 0 {
-				t.Error("no task of a cancelled job was seen to go")
+			if randomRegressionSeeds[seed] != "" && scenario.Checker.CancelledTasksStopped == 0 {
+				t.Error("got no task of a cancelled job that stopped after the confirmation, want at least one")
 			}
-			t.Logf("margin %v, %d cancelled tasks", d.Checker.LeastMargin, d.Checker.CancelledTasksStopped)
+			t.Logf("least margin %v, %d tasks of cancelled jobs stopped", scenario.Checker.LeastMargin, scenario.Checker.CancelledTasksStopped)
 		})
 	}
 }
 
-func sortedSeeds(days map[uint64]string) []uint64 {
+func sortedSeeds(scenarios map[uint64]string) []uint64 {
 	var seeds []uint64
-	for seed := range days {
+	for seed := range scenarios {
 		seeds = append(seeds, seed)
 	}
 	slices.Sort(seeds)
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -16,9 +16,10 @@
 	"mulleinfall/internal/sched"
 )
 
-// shape lists the fields of a stored value, of whatever depth, by the kind of
-// its key; the names of machines in the roster are none.
-func shape(key string, value []byte) (string, []string) {
+// storedFields returns the kind of a key of the state service (its first two path
+// elements) and the names of all fields in its value, at any depth. The machine names
+// in registry pages don't count as fields.
+func storedFields(key string, value []byte) (string, []string) {
 	dir := strings.Join(strings.SplitN(key, "/", 3)[:2], "/")
 	var v any
 	if json.Unmarshal(value, &v) != nil {
@@ -45,343 +46,355 @@
 	return dir, slices.Sorted(maps.Keys(fields))
 }
 
-// productionShapes are the fields that the version in production stores.
-func productionShapes(t *testing.T) map[string]map[string]bool {
+// productionFields returns, for each kind of key, the fields that the version in
+// production stores.
+func productionFields(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("../core/testdata/production.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]map[string]bool{}
+	knownFields := map[string]map[string]bool{}
 	key := ""
 	for _, line := range strings.Split(string(text), "\n") {
 		if k, ok := strings.CutPrefix(line, "value "); ok {
 			key = k
 		} else if value, ok := strings.CutPrefix(line, "  "); ok && key != "" {
-			dir, fields := shape(key, []byte(value))
-			if known[dir] == nil {
-				known[dir] = map[string]bool{}
+			dir, fields := storedFields(key, []byte(value))
+			if knownFields[dir] == nil {
+				knownFields[dir] = map[string]bool{}
 			}
-			for _, f := range fields {
-				known[dir][f] = true
+			for _, field := range fields {
+				knownFields[dir][field] = true
 			}
 			key = ""
 		}
 	}
-	// Fields that are left out where they say nothing, which no sample shows.
+	// These fields are omitted when they are empty, and no sample has them.
 	for dir, fields := range map[string][]string{"mf/r": {"standing", "quiet"}, "mf/j": {"samePlace", "site", "flavors", "loaners", "dueS"}} {
-		for _, f := range fields {
-			known[dir][f] = true
+		for _, field := range fields {
+			knownFields[dir][field] = true
 		}
 	}
-	return known
+	return knownFields
 }
 
-// The limits of the state service before and after they are lowered.
+// The lowered limits of the state service: bytes in a value, changes in a
+// transaction, and changes a second.
 const (
-	loweredValueBytes = 2 << 10
-	loweredTxnOps     = 4
-	loweredWrites     = 35
+	loweredValueBytes      = 2 << 10
+	loweredTxnOps          = 4
+	loweredWritesPerSecond = 35
 )
 
-func (w *Simulation) lowerLimits() {
-	w.Store.MaxValueBytes, w.Store.MaxTxnChanges, w.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWrites
+// lowerStoreLimits makes the state service apply the lowered limits.
+func (s *Simulation) lowerStoreLimits() {
+	s.Store.MaxValueBytes, s.Store.MaxTxnChanges, s.Store.MaxWritesPerSecond = loweredValueBytes, loweredTxnOps, loweredWritesPerSecond
 }
 
-// rollOptions are those of a cluster that runs the former version and is rolled
-// over to the present one, which keeps to the lowered limits from the start.
-func rollOptions(seed uint64) Options {
+// upgradeOptions returns the options of a cluster that runs the previous version and
+// is upgraded to the present one. The present version keeps to the lowered limits
+// from the start.
+func upgradeOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
-	former := opt.Config
-	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWrites
-	opt.ConfigurePreviousVersion = func(c *core.Config) {
-		c.MaxValueBytes, c.MaxTxnOps, c.StoreWriteRPS = former.MaxValueBytes, former.MaxTxnOps, former.StoreWriteRPS
+	previous := opt.Config
+	opt.Config.MaxValueBytes, opt.Config.MaxTxnOps, opt.Config.StoreWriteRPS = loweredValueBytes, loweredTxnOps, loweredWritesPerSecond
+	opt.ConfigurePreviousVersion = func(config *core.Config) {
+		config.MaxValueBytes, config.MaxTxnOps, config.StoreWriteRPS = previous.MaxValueBytes, previous.MaxTxnOps, previous.StoreWriteRPS
 	}
 	opt.Capacity = 20
 	return opt
 }
 
-// rollWatch looks at all that is written and answered while the cluster is
-// rolled over.
-type rollWatch struct {
-	t      *testing.T
-	known  map[string]map[string]bool // fields that the version in production stores
-	raised time.Duration              // when the cluster version was
-	gangAt time.Duration              // when the first gang was accepted
+// upgradeWatcher checks all writes and replies of the controllers during a rolling
+// upgrade.
+type upgradeWatcher struct {
+	t                   *testing.T
+	knownFields         map[string]map[string]bool // fields that the version in production stores, for each kind of key
+	versionRaisedAt     time.Duration              // when the cluster version was raised; 0: not yet
+	firstGangAcceptedAt time.Duration              // when the first gang was accepted; 0: not yet
 }
 
-func (r *rollWatch) tamper(w *Simulation, n *Controller, e core.Effect) core.Effect {
-	switch e := e.(type) {
+// observe checks an effect of a controller and returns it unchanged.
+func (r *upgradeWatcher) observe(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+	switch e := effect.(type) {
 	case core.StoreCall:
-		r.written(w, n, e)
+		r.checkWrite(sim, controller, e)
 	case core.Reply:
-		if st, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(st.ID, "req-3") && r.gangAt == 0 {
-			r.gangAt = w.Now
+		if status, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(status.ID, "req-3") && r.firstGangAcceptedAt == 0 {
+			r.firstGangAcceptedAt = sim.Now
 		}
 	}
-	return e
+	return effect
 }
 
-func (r *rollWatch) written(w *Simulation, n *Controller, c core.StoreCall) {
-	if w.OnPreviousVersion[n.Name] {
+// checkWrite checks a transaction of a controller of the present version. It must keep
+// to the lowered limits. Until the cluster version is raised, it may write only keys
+// and fields that the version in production knows.
+func (r *upgradeWatcher) checkWrite(sim *Simulation, controller *Controller, call core.StoreCall) {
+	if sim.OnPreviousVersion[controller.Name] {
 		return
 	}
-	if len(c.Changes) > loweredTxnOps {
-		r.t.Errorf("%s makes %d changes in a transaction", n.Name, len(c.Changes))
+	if len(call.Changes) > loweredTxnOps {
+		r.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit", controller.Name, len(call.Changes))
 	}
-	for _, ch := range c.Changes {
-		if len(ch.Value) > loweredValueBytes {
-			r.t.Errorf("%s writes %d bytes into %s", n.Name, len(ch.Value), ch.Key)
+	for _, change := range call.Changes {
+		if len(change.Value) > loweredValueBytes {
+			r.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit", controller.Name, len(change.Value), change.Key)
 		}
-		// Keys of which the version in production knows nothing, and which it
-		// passes over.
-		if ch.Key == "mf/forms" {
-			if r.raised == 0 {
-				r.raised = w.Now
+		// mf/forms and mf/v/ are keys that the version in production doesn't know and
+		// ignores. The first write of mf/forms raises the cluster version.
+		if change.Key == "mf/forms" {
+			if r.versionRaisedAt == 0 {
+				r.versionRaisedAt = sim.Now
 			}
 			continue
 		}
-		if ch.Remove || r.raised != 0 || strings.HasPrefix(ch.Key, "mf/v/") {
+		if change.Remove || r.versionRaisedAt != 0 || strings.HasPrefix(change.Key, "mf/v/") {
 			continue
 		}
-		dir, fields := shape(ch.Key, ch.Value)
-		if r.known[dir] == nil {
-			r.t.Errorf("%s writes %s, which the version in production doesn't read", n.Name, ch.Key)
+		dir, fields := storedFields(change.Key, change.Value)
+		if r.knownFields[dir] == nil {
+			r.t.Errorf("%s: got a write of %s, want only keys that the version in production reads", controller.Name, change.Key)
 		}
-		for _, f := range fields {
-			if !r.known[dir][f] {
-				r.t.Errorf("%s writes %s into %s before all controllers are changed over", n.Name, f, ch.Key)
+		for _, field := range fields {
+			if !r.knownFields[dir][field] {
+				r.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, field, change.Key)
 			}
 		}
 	}
 }
 
-// rollFaults are the troubles of a roll. turns are the times at which the
-// controllers are replaced.
-var rollFaults = []struct {
-	name     string
-	limitsAt time.Duration // 0: 100 s, after the roll
-	play     func(w *Simulation, turns []time.Duration)
+// upgradeFaults are the faults that are injected into a rolling upgrade. upgradeTimes
+// are the times at which the controllers are upgraded.
+var upgradeFaults = []struct {
+	name            string
+	limitsLoweredAt time.Duration // when the state service lowers its limits; 0: at 100 s, after the upgrade
+	inject          func(sim *Simulation, upgradeTimes []time.Duration)
 }{
-	{name: "the leader ends for a moment", play: func(w *Simulation, _ []time.Duration) {
-		w.At(50*second, func() { w.crashLeader(300 * time.Millisecond) })
+	{name: "the leader crashes and restarts at once", inject: func(sim *Simulation, _ []time.Duration) {
+		sim.At(50*second, func() { sim.crashLeader(300 * time.Millisecond) })
 	}},
-	{name: "the state service is out", play: func(w *Simulation, _ []time.Duration) { w.outage(55*second, 68*second) }},
-	{name: "the state service refuses the leader", play: func(w *Simulation, _ []time.Duration) {
-		w.At(52*second, func() { w.refuseLeader(9 * second) })
+	{name: "the state service is out", inject: func(sim *Simulation, _ []time.Duration) { sim.outage(55*second, 68*second) }},
+	{name: "the state service refuses the leader", inject: func(sim *Simulation, _ []time.Duration) {
+		sim.At(52*second, func() { sim.makeStoreUnavailableToLeader(9 * second) })
 	}},
-	{name: "a zone is cut off", play: func(w *Simulation, _ []time.Duration) {
-		w.At(54*second, func() { cutZone(w, "b", 12*second, "hold") })
+	{name: "a zone is cut off", inject: func(sim *Simulation, _ []time.Duration) {
+		sim.At(54*second, func() { cutZone(sim, "b", 12*second, "hold") })
 	}},
-	{name: "the leader ends at each step", play: func(w *Simulation, turns []time.Duration) {
-		for _, at := range turns {
-			w.At(at-2*second, func() { w.crashLeader(time.Second) })
-			w.At(at+5*second, func() { w.crashLeader(time.Second) })
+	{name: "the leader crashes before and after each upgrade", inject: func(sim *Simulation, upgradeTimes []time.Duration) {
+		for _, at := range upgradeTimes {
+			sim.At(at-2*second, func() { sim.crashLeader(time.Second) })
+			sim.At(at+5*second, func() { sim.crashLeader(time.Second) })
 		}
 	}},
-	{name: "the state service refuses a follower", play: func(w *Simulation, turns []time.Duration) {
-		w.At(turns[0]+4*second, func() {
-			for _, n := range w.Controllers {
-				if n != w.Leader() {
-					w.Store.UnavailableTo[n.Name] = true
-					w.After(25*second, func() { delete(w.Store.UnavailableTo, n.Name) })
+	{name: "the state service refuses a follower", inject: func(sim *Simulation, upgradeTimes []time.Duration) {
+		sim.At(upgradeTimes[0]+4*second, func() {
+			for _, controller := range sim.Controllers {
+				if controller != sim.Leader() {
+					sim.Store.UnavailableTo[controller.Name] = true
+					sim.After(25*second, func() { delete(sim.Store.UnavailableTo, controller.Name) })
 					break
 				}
 			}
 		})
 	}},
-	{name: "the limits fall amid the roll", limitsAt: 57 * second, play: func(*Simulation, []time.Duration) {}},
-	{name: "the state service is slow, answers are lost", play: func(w *Simulation, _ []time.Duration) {
-		w.At(41*second, func() { w.Store.MaxExtraLatency, w.Store.UnansweredFraction = 300*time.Millisecond, 0.2 })
-		w.At(90*second, func() { w.Store.MaxExtraLatency, w.Store.UnansweredFraction = 0, 0 })
+	{name: "the state service lowers its limits during the upgrade", limitsLoweredAt: 57 * second, inject: func(*Simulation, []time.Duration) {}},
+	{name: "the state service is slow, and replies are lost", inject: func(sim *Simulation, _ []time.Duration) {
+		sim.At(41*second, func() { sim.Store.MaxExtraLatency, sim.Store.UnansweredFraction = 300*time.Millisecond, 0.2 })
+		sim.At(90*second, func() { sim.Store.MaxExtraLatency, sim.Store.UnansweredFraction = 0, 0 })
 	}},
 }
 
-// orders of replacing three controllers.
-var orders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
+// upgradeOrders are all orders in which three controllers can be upgraded.
+var upgradeOrders = [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 
-// TestRoll rolls the controllers over from the former version to the present
-// one, in each order, with crashes that the seed chooses, under load and with
-// troubles; then the state service lowers its limits. Users of gangs are told to
-// come back until the last controller has been changed over; until then all that
-// is stored has the former version's form.
-func TestRoll(t *testing.T) {
-	known := productionShapes(t)
-	mixes := map[string]bool{} // leader's version and how many others are old
+// TestRollingUpgrade upgrades the controllers one by one from the previous version to
+// the present one, in each order, under load, with injected faults and with crashes
+// that the seed chooses. Then the state service lowers its limits. Until the last
+// controller is upgraded, submissions of gangs are answered with "retry later", and
+// everything is stored in the format of the previous version.
+func TestRollingUpgrade(t *testing.T) {
+	knownFields := productionFields(t)
+	mixes := map[string]bool{} // the leader's version and the number of other controllers of the previous version
 	var mu sync.Mutex
 	t.Cleanup(func() {
 		if !t.Failed() && len(mixes) < 6 {
-			t.Errorf("mixes of versions seen: %v, want the leader old or new beside none, one or two old ones", mixes)
+			t.Errorf("got mixes of versions %v, want all six: a previous or present leader beside none, one or two previous ones", mixes)
 		}
 	})
-	for seed := uint64(0); seed < uint64(max(len(rollFaults), 2**seeds)); seed++ {
-		day := rollFaults[seed%uint64(len(rollFaults))]
-		t.Run(fmt.Sprint("seed ", seed, ", ", day.name), func(t *testing.T) {
+	for seed := uint64(0); seed < uint64(max(len(upgradeFaults), 2**seedCount)); seed++ {
+		fault := upgradeFaults[seed%uint64(len(upgradeFaults))]
+		t.Run(fmt.Sprint("seed ", seed, ", ", fault.name), func(t *testing.T) {
 			t.Parallel()
-			watch := &rollWatch{t: t, known: known}
-			opt := rollOptions(seed)
-			opt.Tamper = watch.tamper
-			w := New(opt)
-			w.Users.ProbesAllControllers = true
-			w.Cloud.BootTimeFactor = 0.2
-			for _, zone := range opt.Zones { // more than a page holds under the lowered limits
-				w.Cloud.Rent("small", zone, false, 16)
+			watcher := &upgradeWatcher{t: t, knownFields: knownFields}
+			opt := upgradeOptions(seed)
+			opt.Tamper = watcher.observe
+			sim := New(opt)
+			sim.Users.ProbesAllControllers = true
+			sim.Cloud.BootTimeFactor = 0.2
+			for _, zone := range opt.Zones { // more machines than a registry page holds under the lowered limits
+				sim.Cloud.Rent("small", zone, false, 16)
 			}
-			load(w, 130*second)
-			gangs(w, 130*second) // from the start: refused for now
-			watchLeaders(w)
-			watchMixes(w, func(mix string) {
+			load(sim, 130*second)
+			submitGangs(sim, 130*second) // from the start, so that some are refused until the upgrade is complete
+			watchLeaders(sim)
+			watchVersionMixes(sim, func(mix string) {
 				mu.Lock()
 				mixes[mix] = true
 				mu.Unlock()
 			})
-			crash := func(at time.Duration, n *Controller) {
-				w.At(at, func() { n.CrashFor(time.Duration(200+w.Rand.IntN(3000)) * time.Millisecond) })
+			crash := func(at time.Duration, controller *Controller) {
+				sim.At(at, func() { controller.CrashFor(time.Duration(200+sim.Rand.IntN(3000)) * time.Millisecond) })
 			}
-			var turns []time.Duration
-			for i, k := range orders[seed%uint64(len(orders))] {
-				n := w.Controllers[k]
-				at := time.Duration(40+12*i+w.Rand.IntN(8)) * second
-				w.replace(n, at)
-				turns = append(turns, at)
-				if w.Rand.IntN(2) == 0 {
-					crash(at-time.Duration(3+w.Rand.IntN(9))*second, n) // it comes back old
+			var upgradeTimes []time.Duration
+			for i, k := range upgradeOrders[seed%uint64(len(upgradeOrders))] {
+				controller := sim.Controllers[k]
+				at := time.Duration(40+12*i+sim.Rand.IntN(8)) * second
+				sim.upgradeController(controller, at)
+				upgradeTimes = append(upgradeTimes, at)
+				if sim.Rand.IntN(2) == 0 {
+					crash(at-time.Duration(3+sim.Rand.IntN(9))*second, controller) // it restarts with the previous version
 				}
-				if w.Rand.IntN(2) == 0 {
-					crash(at+time.Duration(5+w.Rand.IntN(5))*second, n) // and new
+				if sim.Rand.IntN(2) == 0 {
+					crash(at+time.Duration(5+sim.Rand.IntN(5))*second, controller) // it restarts with the present version
 				}
 			}
-			day.play(w, turns)
-			limitsAt := day.limitsAt
-			if limitsAt == 0 {
-				limitsAt = 100 * second
+			fault.inject(sim, upgradeTimes)
+			limitsLoweredAt := fault.limitsLoweredAt
+			if limitsLoweredAt == 0 {
+				limitsLoweredAt = 100 * second
 			}
-			w.At(limitsAt, w.lowerLimits)
-			w.At(105*second, func() { // a page that a former leader wrote has to change
-				w.Cloud.RemoveMachine("n-000003")
-				w.Cloud.RemoveMachine("n-000020")
+			sim.At(limitsLoweredAt, sim.lowerStoreLimits)
+			sim.At(105*second, func() { // makes the leader change a registry page that a previous leader wrote
+				sim.Cloud.RemoveMachine("n-000003")
+				sim.Cloud.RemoveMachine("n-000020")
 			})
-			w.At(115*second, func() {
-				for _, n := range w.Controllers {
-					n.CrashFor(500 * time.Millisecond)
+			sim.At(115*second, func() {
+				for _, controller := range sim.Controllers {
+					controller.CrashFor(500 * time.Millisecond)
 				}
 			})
-			w.RunUntil(220 * second)
-			w.Checker.CheckKnown(75 * second)
-			w.RunUntil(330 * second)
-			w.Checker.CheckServed()
-			for _, b := range w.Checker.Violations {
-				t.Error(b)
+			sim.RunUntil(220 * second)
+			sim.Checker.CheckKnown(75 * second)
+			sim.RunUntil(330 * second)
+			sim.Checker.CheckServed()
+			for _, violation := range sim.Checker.Violations {
+				t.Error(violation)
 			}
-			rolled := turns[len(turns)-1]
-			if watch.raised <= rolled || watch.raised > rolled+30*second {
-				t.Errorf("the last controller is changed over at %v, the cluster version was raised at %v", rolled, watch.raised)
+			lastUpgradeAt := upgradeTimes[len(upgradeTimes)-1]
+			if watcher.versionRaisedAt <= lastUpgradeAt || watcher.versionRaisedAt > lastUpgradeAt+30*second {
+				t.Errorf("last controller upgraded at %v: got cluster version raised at %v, want within 30 s after that", lastUpgradeAt, watcher.versionRaisedAt)
 			}
-			if watch.gangAt <= watch.raised {
-				t.Errorf("a gang was accepted at %v, the cluster version was raised at %v", watch.gangAt, watch.raised)
+			if watcher.firstGangAcceptedAt <= watcher.versionRaisedAt {
+				t.Errorf("got first gang accepted at %v, want it after the cluster version is raised at %v", watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 			}
-			if day.limitsAt == 0 && w.Store.RefusedTooLarge+w.Store.RefusedRateLimited > 0 {
-				t.Errorf("%d transactions beyond the lowered limits, %d beyond the rate", w.Store.RefusedTooLarge, w.Store.RefusedRateLimited)
+			if fault.limitsLoweredAt == 0 && sim.Store.RefusedTooLarge+sim.Store.RefusedRateLimited > 0 {
+				t.Errorf("got %d transactions beyond the lowered limits and %d beyond the lowered rate, want 0", sim.Store.RefusedTooLarge, sim.Store.RefusedRateLimited)
 			}
 			gangs := 0
-			for _, x := range w.Checker.jobs {
-				if x.spec.Kind == model.KindGang && x.confirmedDone {
+			for _, job := range sim.Checker.jobs {
+				if job.spec.Kind == model.KindGang && job.confirmedDone {
 					gangs++
 				}
 			}
-			if accepted, done := w.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
-				t.Errorf("%d of %d jobs and %d gangs done at the end of the day", done, accepted, gangs)
+			if accepted, done := sim.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
+				t.Errorf("got %d of %d accepted jobs and %d gangs done at the end, want all of at least 10 jobs and at least 5 gangs", done, accepted, gangs)
 			}
 		})
 	}
 }
 
-// replace changes a controller over to the present version at a time.
-func (w *Simulation) replace(n *Controller, at time.Duration) {
-	w.At(at, func() {
-		w.OnPreviousVersion[n.Name] = false
-		n.CrashFor(3 * second)
+// upgradeController restarts a controller with the present version at the given
+// time; the restart takes 3 s.
+func (s *Simulation) upgradeController(controller *Controller, at time.Duration) {
+	s.At(at, func() {
+		s.OnPreviousVersion[controller.Name] = false
+		controller.CrashFor(3 * second)
 	})
 }
 
-// watchMixes reports, all day, which version leads beside how many former ones.
-func watchMixes(w *Simulation, seen func(mix string)) {
-	var look func()
-	look = func() {
-		if l := w.Leader(); l != nil {
+// watchVersionMixes reports every 100 ms the version of the leader and how many other
+// controllers run the previous version.
+func watchVersionMixes(sim *Simulation, seen func(mix string)) {
+	var sample func()
+	sample = func() {
+		if leader := sim.Leader(); leader != nil {
 			others := 0
-			for _, n := range w.Controllers {
-				if n != l && n.IsRunning() && n.runsPreviousVersion {
+			for _, controller := range sim.Controllers {
+				if controller != leader && controller.IsRunning() && controller.runsPreviousVersion {
 					others++
 				}
 			}
-			seen(fmt.Sprintf("leader old: %v, others old: %d", l.runsPreviousVersion, others))
+			seen(fmt.Sprintf("leader of the previous version: %v, others of it: %d", leader.runsPreviousVersion, others))
 		}
-		w.After(100*time.Millisecond, look)
+		sim.After(100*time.Millisecond, sample)
 	}
-	look()
+	sample()
 }
 
-// TestRollWithOneAway: a controller that has been changed over and then can't be
-// reached for minutes doesn't keep gangs waiting. One that was changed back does,
-// whatever it had noted before, once a controller of the new version has led
-// within its reach.
-func TestRollWithOneAway(t *testing.T) {
-	for _, c := range []struct {
+// TestRollingUpgradeWithUnreachableController checks that a controller that was
+// upgraded and then can't be reached for minutes doesn't keep gangs waiting. A
+// controller that was downgraded again must keep them waiting, although it had stored
+// the present version before, if a leader of the present version could reach it
+// after the downgrade.
+func TestRollingUpgradeWithUnreachableController(t *testing.T) {
+	for _, tc := range []struct {
 		name string
-		// play keeps the first controller from the others from some time after its
-		// replacement until 200 s; the last one is replaced at 80 s.
-		play  func(w *Simulation, n *Controller)
-		taken bool // gangs, before it is back
+		// inject keeps the first controller, which is upgraded at 40 s, from the others
+		// from some time on until 200 s. The last controller is upgraded at 80 s.
+		inject       func(sim *Simulation, controller *Controller)
+		acceptsGangs bool // whether gangs are accepted before the controller can be reached again
 	}{
-		{"cut from the other controllers", func(w *Simulation, n *Controller) {
-			w.At(46*second, func() { cutPeers(w, n, 154*second) })
-			w.replace(w.Controllers[1], 65*second)
+		{"upgraded, then cut off from the other controllers", func(sim *Simulation, controller *Controller) {
+			sim.At(46*second, func() { cutFromPeers(sim, controller, 154*second) })
+			sim.upgradeController(sim.Controllers[1], 65*second)
 		}, true},
-		{"ended", func(w *Simulation, n *Controller) {
-			w.At(50*second, func() { n.CrashFor(150 * second) })
-			w.replace(w.Controllers[1], 65*second)
+		{"upgraded, then crashed", func(sim *Simulation, controller *Controller) {
+			sim.At(50*second, func() { controller.CrashFor(150 * second) })
+			sim.upgradeController(sim.Controllers[1], 65*second)
 		}, true},
-		{"changed back, heard of, and cut off", func(w *Simulation, n *Controller) {
-			w.replace(w.Controllers[1], 50*second)
-			w.At(58*second, func() { w.Controllers[2].CrashFor(14 * second) })
-			w.At(60*second, func() { w.OnPreviousVersion[n.Name] = true; n.CrashFor(second) })
-			w.At(70*second, func() { cutPeers(w, n, 130*second) })
+		{"downgraded, noticed by the leader, then cut off", func(sim *Simulation, controller *Controller) {
+			sim.upgradeController(sim.Controllers[1], 50*second)
+			sim.At(58*second, func() { sim.Controllers[2].CrashFor(14 * second) })
+			sim.At(60*second, func() { sim.OnPreviousVersion[controller.Name] = true; controller.CrashFor(second) })
+			sim.At(70*second, func() { cutFromPeers(sim, controller, 130*second) })
 		}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= uint64(max(2, *seeds/2)); seed++ {
-				watch := &rollWatch{t: t, known: productionShapes(t)}
-				opt := rollOptions(seed)
-				opt.Tamper = watch.tamper
-				w := New(opt)
-				load(w, 130*second)
-				gangs(w, 130*second)
-				watchLeaders(w)
-				w.replace(w.Controllers[0], 40*second)
-				c.play(w, w.Controllers[0])
-				w.replace(w.Controllers[2], 80*second)
-				w.RunUntil(200 * second)
-				if taken := watch.gangAt != 0 && watch.gangAt < 110*second; taken != c.taken {
-					t.Errorf("seed %d: the first gang was accepted at %v, the cluster version raised at %v", seed, watch.gangAt, watch.raised)
+			for seed := uint64(1); seed <= uint64(max(2, *seedCount/2)); seed++ {
+				watcher := &upgradeWatcher{t: t, knownFields: productionFields(t)}
+				opt := upgradeOptions(seed)
+				opt.Tamper = watcher.observe
+				sim := New(opt)
+				load(sim, 130*second)
+				submitGangs(sim, 130*second)
+				watchLeaders(sim)
+				sim.upgradeController(sim.Controllers[0], 40*second)
+				tc.inject(sim, sim.Controllers[0])
+				sim.upgradeController(sim.Controllers[2], 80*second)
+				sim.RunUntil(200 * second)
+				if accepted := watcher.firstGangAcceptedAt != 0 && watcher.firstGangAcceptedAt < 110*second; accepted != tc.acceptsGangs {
+					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0: not), want as the row says", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 				}
-				w.RunUntil(250 * second)
-				for _, b := range w.Checker.Violations {
-					t.Errorf("seed %d: %s", seed, b)
+				sim.RunUntil(250 * second)
+				for _, violation := range sim.Checker.Violations {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 			}
 		})
 	}
 }
 
-// cutPeers cuts a controller from the others, not from anything else.
-func cutPeers(w *Simulation, n *Controller, d time.Duration) {
-	for _, o := range w.Controllers {
-		if o != n {
-			w.Cut(n.Name, o.Name, "drop")
-			w.After(d, func() { w.Heal(n.Name, o.Name) })
+// cutFromPeers cuts a controller off from the other controllers only, for the given
+// duration.
+func cutFromPeers(sim *Simulation, controller *Controller, duration time.Duration) {
+	for _, other := range sim.Controllers {
+		if other != controller {
+			sim.Cut(controller.Name, other.Name, "drop")
+			sim.After(duration, func() { sim.Heal(controller.Name, other.Name) })
 		}
 	}
 }
