--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -150,19 +150,19 @@
 			})
 		}},
 	}
-	for _, c := range cases {
-		t.Run(c.rule, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.rule, func(t *testing.T) {
 			repeatedStarts = nil
 			options := DefaultOptions(3)
-			options.Tamper = c.tamper
+			options.Tamper = test.tamper
 			sim := New(options)
-			if c.setup != nil {
-				c.setup(sim)
+			if test.setup != nil {
+				test.setup(sim)
 			}
 			load(sim, 90*second)
 			sim.RunUntil(160 * second)
 			for _, violation := range sim.Checker.Violations {
-				if strings.Contains(violation, c.rule+":") {
+				if strings.Contains(violation, test.rule+":") {
 					return
 				}
 			}
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -98,16 +98,16 @@
 	c.paused = &pausedWork{}
 	incarnation := c.incarnation
 	c.sim.After(d, func() {
-		p := c.paused
-		if c.incarnation != incarnation || p == nil {
+		work := c.paused
+		if c.incarnation != incarnation || work == nil {
 			return
 		}
 		c.paused = nil
 		c.sim.tracef("%s resumes", c.Name)
-		for _, e := range p.effects {
+		for _, e := range work.effects {
 			c.applyEffect(e)
 		}
-		for _, ev := range p.events {
+		for _, ev := range work.events {
 			c.Step(ev)
 		}
 	})
@@ -293,11 +293,11 @@
 
 // sendRequest sends a request to the controller and passes the reply to f. The reply
 // is empty if the process is down. newEvent creates the event from the request id.
-func (c *Controller) sendRequest(from string, newEvent func(uint64) core.Event, f func(core.Reply)) {
+func (c *Controller) sendRequest(from string, newEvent func(uint64) core.Event, handleReply func(core.Reply)) {
 	sim := c.sim
 	sim.send(from, c.Name, func() {
 		if c.State == nil {
-			sim.send(c.Name, from, func() { f(core.Reply{}) })
+			sim.send(c.Name, from, func() { handleReply(core.Reply{}) })
 			return
 		}
 		c.lastRequest++
@@ -305,7 +305,7 @@
 			if r.SendBefore != 0 && c.monotonicNow() >= r.SendBefore {
 				r = core.Reply{Status: 503}
 			}
-			sim.send(c.Name, from, func() { f(r) })
+			sim.send(c.Name, from, func() { handleReply(r) })
 		}
 		c.Step(newEvent(c.lastRequest))
 	})
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -21,12 +21,12 @@
 
 // gangAttemptFor returns an attempt of the gang, which it creates on first use.
 func (j *jobRecord) gangAttemptFor(attempt uint64) *gangAttempt {
-	g := j.gangAttempts[attempt]
-	if g == nil {
-		g = &gangAttempt{job: j, attempt: attempt, members: map[string]*Worker{}, savedTasks: map[string]bool{}}
-		j.gangAttempts[attempt] = g
+	gang := j.gangAttempts[attempt]
+	if gang == nil {
+		gang = &gangAttempt{job: j, attempt: attempt, members: map[string]*Worker{}, savedTasks: map[string]bool{}}
+		j.gangAttempts[attempt] = gang
 	}
-	return g
+	return gang
 }
 
 // taskReady handles that a task has its image. The task waits until all tasks of the
@@ -76,11 +76,11 @@
 // advanceGangTask changes the state of a gang's task that has its image, if its time
 // has come.
 func (wk *Worker) advanceGangTask(name string, run *taskRun, job *jobRecord) {
-	g := job.gangAttemptFor(run.attempt)
-	for _, member := range g.members { // a paused member breaks the gang, too
-		if g.started && member.Paused && g.brokenAt == 0 && !g.settled {
-			g.brokenAt = wk.sim.Now
-			g.settleProgress(wk.sim.Now)
+	gang := job.gangAttemptFor(run.attempt)
+	for _, member := range gang.members { // a paused member breaks the gang, too
+		if gang.started && member.Paused && gang.brokenAt == 0 && !gang.settled {
+			gang.brokenAt = wk.sim.Now
+			gang.settleProgress(wk.sim.Now)
 		}
 	}
 	switch run.state {
@@ -89,9 +89,9 @@
 			wk.exitTask(name, run, model.CauseGangIncomplete)
 		}
 	case model.TaskRunning:
-		wk.advanceRunningGangTask(name, run, g)
+		wk.advanceRunningGangTask(name, run, gang)
 	case model.TaskSaving:
-		wk.advanceSavingGangTask(name, run, g)
+		wk.advanceSavingGangTask(name, run, gang)
 	}
 }
 
@@ -104,41 +104,41 @@
 
 // advanceRunningGangTask completes the gang when its time has come, or ends a task that
 // has lost its peers.
-func (wk *Worker) advanceRunningGangTask(name string, run *taskRun, g *gangAttempt) {
-	sim, job := wk.sim, g.job
+func (wk *Worker) advanceRunningGangTask(name string, run *taskRun, gang *gangAttempt) {
+	sim, job := wk.sim, gang.job
 	switch {
 	case job.doneTasks[name]:
 		wk.exitTask(name, run, model.CauseDone)
-	case g.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
+	case gang.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
 		wk.exitTask(name, run, model.CausePeerLost)
-	case g.killedAt == 0 && g.brokenAt == 0 && sim.Now >= run.endsAt:
-		g.settled = true
+	case gang.killedAt == 0 && gang.brokenAt == 0 && sim.Now >= run.endsAt:
+		gang.settled = true
 		for i := range job.spec.Tasks {
 			job.doneTasks[model.TaskName(job.spec.ID, i)] = true
 		}
-		sim.tracef("gang %s attempt %d is done", job.spec.ID, g.attempt)
+		sim.tracef("gang %s attempt %d is done", job.spec.ID, gang.attempt)
 		wk.exitTask(name, run, model.CauseDone)
 	}
 }
 
 // advanceSavingGangTask ends a task once all tasks have saved, or when it has lost its
 // peers.
-func (wk *Worker) advanceSavingGangTask(name string, run *taskRun, g *gangAttempt) {
-	sim, job := wk.sim, g.job
+func (wk *Worker) advanceSavingGangTask(name string, run *taskRun, gang *gangAttempt) {
+	sim, job := wk.sim, gang.job
 	if sim.Now >= run.endsAt {
-		g.savedTasks[name] = true
+		gang.savedTasks[name] = true
 	}
-	if len(g.savedTasks) == job.spec.Tasks && g.brokenAt == 0 && !g.settled {
-		g.settled = true
-		job.savedProgress += g.killedAt - g.startedAt
-		sim.tracef("gang %s attempt %d has saved %v", job.spec.ID, g.attempt, job.savedProgress)
+	if len(gang.savedTasks) == job.spec.Tasks && gang.brokenAt == 0 && !gang.settled {
+		gang.settled = true
+		job.savedProgress += gang.killedAt - gang.startedAt
+		sim.tracef("gang %s attempt %d has saved %v", job.spec.ID, gang.attempt, job.savedProgress)
 	}
 	switch {
-	case run.saved, g.settled && g.brokenAt == 0:
+	case run.saved, gang.settled && gang.brokenAt == 0:
 		run.saved = true
 		wk.exitTask(name, run, model.CauseStopped)
-	case g.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
-		g.settleProgress(sim.Now)
+	case gang.hasLostPeers(sim.Now, sim.Options.Config.GangPeerTimeout):
+		gang.settleProgress(sim.Now)
 		wk.exitTask(name, run, model.CausePeerLost)
 	}
 }
@@ -147,12 +147,12 @@
 // saves first if the grace period is long enough and the first stop order for the gang
 // came at most GangPeerTimeout ago.
 func (wk *Worker) stopGangTask(name string, run *taskRun, job *jobRecord, graceS *float64) {
-	sim, g := wk.sim, job.gangAttemptFor(run.attempt)
+	sim, gang := wk.sim, job.gangAttemptFor(run.attempt)
 	if run.state == model.TaskRunning && job.spec.CheckpointEveryS > 0 && graceS != nil && *graceS >= job.spec.CheckpointCostS {
-		if g.killedAt == 0 {
-			g.killedAt = sim.Now
+		if gang.killedAt == 0 {
+			gang.killedAt = sim.Now
 		}
-		if sim.Now <= g.killedAt+sim.Options.Config.GangPeerTimeout {
+		if sim.Now <= gang.killedAt+sim.Options.Config.GangPeerTimeout {
 			run.state, run.endsAt, wk.hasChanges = model.TaskSaving, sim.Now+time.Duration(job.spec.CheckpointCostS*float64(time.Second)), true
 			return
 		}
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -35,9 +35,9 @@
 
 // machineWithTask returns a machine that reports a task in any state, or nil.
 func (s *Simulation) machineWithTask(task string) *Worker {
-	for _, h := range sortedKeys(s.Workers) {
-		if s.Workers[h].tasks[task] != nil {
-			return s.Workers[h]
+	for _, endpoint := range sortedKeys(s.Workers) {
+		if s.Workers[endpoint].tasks[task] != nil {
+			return s.Workers[endpoint]
 		}
 	}
 	return nil
@@ -59,15 +59,15 @@
 
 // countInState counts the tasks of a job that are in a state on some machine.
 func (s *Simulation) countInState(job, state string) int {
-	n := 0
+	count := 0
 	for _, wk := range s.Workers {
-		for task, r := range wk.tasks {
-			if id, _, _ := model.ParseTaskName(task); id == job && r.state == state {
-				n++
+		for task, run := range wk.tasks {
+			if id, _, _ := model.ParseTaskName(task); id == job && run.state == state {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // traceScenarios are the scenarios whose traces are kept in testdata for people to read.
@@ -113,8 +113,8 @@
 				reclaimed := sim.machineWithTask("req-000001/0")
 				sim.tracef("machine %s gets a reclaim notice", reclaimed.info.Host)
 				sim.Cloud.Reclaim(reclaimed.info.Host, 9*second)
-				for _, h := range sortedKeys(sim.Workers) {
-					if wk := sim.Workers[h]; wk != reclaimed && len(wk.tasks) > 0 {
+				for _, endpoint := range sortedKeys(sim.Workers) {
+					if wk := sim.Workers[endpoint]; wk != reclaimed && len(wk.tasks) > 0 {
 						sim.tracef("machine %s can't be reached", wk.info.Host)
 						sim.cutOff(wk, 12*second, "hold")
 						break
@@ -190,8 +190,8 @@
 	{"late-command", "The only machine is paused while start orders are on their way to it, and the job is cancelled meanwhile. The fence keeps the late starts from running on.", 60 * second, func(sim *Simulation) {
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 1), 10*second) })
 		sim.At(40*second, func() {
-			for _, k := range sortedKeys(sim.Workers) {
-				sim.Workers[k].Pause(4 * second)
+			for _, endpoint := range sortedKeys(sim.Workers) {
+				sim.Workers[endpoint].Pause(4 * second)
 			}
 			sim.Users.Submit(batchJob("req-000002", 2), 10*second)
 		})
@@ -201,8 +201,8 @@
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 1), 10*second) })
 		var watch func()
 		watch = func() {
-			t := sim.Checker.jobs["req-000001"]
-			if t != nil && len(t.doneTasks) == 1 {
+			job := sim.Checker.jobs["req-000001"]
+			if job != nil && len(job.doneTasks) == 1 {
 				sim.Users.Cancel("req-000001")
 				return
 			}
@@ -219,8 +219,8 @@
 	{"restart-of-all", "All controllers crash at once. They release each other from the promises of their previous incarnations, and one leads again before any lease has expired.", 60 * second, func(sim *Simulation) {
 		sim.At(second, func() { sim.Users.Submit(serviceJob("req-000001", 2), 0) })
 		sim.At(30*second, func() {
-			for _, n := range sim.Controllers {
-				n.Crash()
+			for _, controller := range sim.Controllers {
+				controller.Crash()
 			}
 		})
 	}},
@@ -254,8 +254,8 @@
 			zone := sim.runningMachine("req-000001/0").info.Zone
 			sim.tracef("zone %s is cut off", zone)
 			cutZone(sim, zone, 40*second, "drop")
-			for _, n := range sim.Controllers {
-				n.Crash()
+			for _, controller := range sim.Controllers {
+				controller.Crash()
 			}
 		})
 		var watch func()
@@ -273,8 +273,8 @@
 	{"out-of-earshot", "A machine's reports arrive, but no message reaches it. Its task starts elsewhere once its session has certainly ended, and the machine is returned to the cloud.", 110 * second, func(sim *Simulation) {
 		sim.At(second, func() { sim.Users.Submit(serviceJob("req-000001", 7), 0) })
 		sim.At(40*second, func() {
-			for _, k := range sortedKeys(sim.Workers) {
-				if wk := sim.Workers[k]; len(wk.tasks) == 1 {
+			for _, endpoint := range sortedKeys(sim.Workers) {
+				if wk := sim.Workers[endpoint]; len(wk.tasks) == 1 {
 					wk.CannotReceive, wk.ReportAnswersLost = true, true
 					sim.tracef("machine %s receives no messages", wk.info.Host)
 					sim.After(24*second, func() {
@@ -352,9 +352,9 @@
 		sim.At(second, func() { sim.Users.Submit(serviceJob("req-000001", 2), 0) })
 		sim.At(30*second, func() { sim.Leader().CrashFor(200 * time.Millisecond) })
 		sim.At(30250*time.Millisecond, func() {
-			for _, n := range sim.Controllers {
-				if n.StartCount == 1 {
-					n.CrashFor(100 * time.Millisecond)
+			for _, controller := range sim.Controllers {
+				if controller.StartCount == 1 {
+					controller.CrashFor(100 * time.Millisecond)
 					break
 				}
 			}
@@ -386,8 +386,8 @@
 			}
 			var b strings.Builder
 			b.WriteString("# " + scenario.description + "\n")
-			for _, l := range sim.Trace {
-				b.WriteString(l + "\n")
+			for _, line := range sim.Trace {
+				b.WriteString(line + "\n")
 			}
 			file := filepath.Join("testdata", scenario.name+".trace")
 			if *update {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -122,8 +122,8 @@
 }
 
 // pollOnce polls a job at a random controller.
-func (u *Users) pollOnce(id string, f func(core.Reply)) {
-	u.sendRequest(func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, 2*time.Second, f)
+func (u *Users) pollOnce(id string, handleReply func(core.Reply)) {
+	u.sendRequest(func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, 2*time.Second, handleReply)
 }
 
 // Cancel cancels a job through random controllers.
@@ -169,13 +169,13 @@
 }
 
 // sendRequest sends a request to a random controller. See sendRequestTo.
-func (u *Users) sendRequest(newEvent func(uint64) core.Event, timeout time.Duration, f func(core.Reply)) {
-	u.sendRequestTo(nil, newEvent, timeout, f)
+func (u *Users) sendRequest(newEvent func(uint64) core.Event, timeout time.Duration, handleReply func(core.Reply)) {
+	u.sendRequestTo(nil, newEvent, timeout, handleReply)
 }
 
 // sendRequestTo sends a request to a controller, or to a random one if controller is nil, and
 // passes the reply to f. The reply is empty after the timeout.
-func (u *Users) sendRequestTo(controller *Controller, newEvent func(uint64) core.Event, timeout time.Duration, f func(core.Reply)) {
+func (u *Users) sendRequestTo(controller *Controller, newEvent func(uint64) core.Event, timeout time.Duration, handleReply func(core.Reply)) {
 	sim := u.sim
 	if controller == nil {
 		controller = sim.Controllers[sim.Rand.IntN(len(sim.Controllers))]
@@ -184,7 +184,7 @@
 	finish := func(r core.Reply) {
 		if !isAnswered {
 			isAnswered = true
-			f(r)
+			handleReply(r)
 		}
 	}
 	controller.sendRequest("users", newEvent, finish)
