--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -44,7 +44,8 @@
 	return sim
 }
 
-// BenchmarkReport measures how the leader handles a worker's report.
+// BenchmarkReport measures what it costs the leader to handle and answer a worker's
+// report.
 func BenchmarkReport(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// BenchmarkPoll measures how the leader answers a poll of a finished job.
+// BenchmarkPoll measures what it costs the leader to answer a poll of a finished job.
 func BenchmarkPoll(b *testing.B) {
 	sim := busySimulation(1, 2*time.Minute)
 	leader := sim.Leader()
--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -35,7 +35,7 @@
 
 // cancelScenarios are scenarios in which a machine gets an answer, and with it a renewed
 // lease, later than cancel_s - lease_s after the cancellation was confirmed to the user.
-// No message reaches the machine after that answer.
+// Nothing after that answer tells the machine of the cancellation.
 var cancelScenarios = []struct {
 	name            string
 	machinesPerZone int
@@ -87,7 +87,7 @@
 			}
 			confirmedAt := scenario.Checker.jobs[scenario.job].cancelConfirmedAt
 			if confirmedAt == 0 || confirmedAt > cancelAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
-				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s and at least 1 task", confirmedAt, scenario.Checker.CancelledTasksStopped)
+				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s of the start of the faults and at least 1 task stopped", confirmedAt, scenario.Checker.CancelledTasksStopped)
 			}
 			t.Logf("the cancelled tasks were gone %v before the end of cancel_s", scenario.Checker.LeastMargin)
 		})
--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -16,7 +16,7 @@
 	// Violations are the violations found, each with its time, rule and details.
 	Violations []string
 	TaskStarts int
-	JobsDone   int
+	JobsDone   int // jobs that were confirmed as done
 	// StartsAfterCancellation counts tasks that started after the cancellation of their
 	// job was confirmed to its user.
 	StartsAfterCancellation int
@@ -37,15 +37,15 @@
 	acceptedAt         time.Duration
 	savedProgress      time.Duration // of a gang: progress in its last checkpoint
 	gangAttempts       map[uint64]*gangAttempt
-	waitedWithCapacity time.Duration // how long it has been waiting although there is capacity for it
-	submittedAt        time.Duration // first submission
-	firstStartedAt     time.Duration // first start of a task; 0: none yet
-	cancelRequested    bool          // its user has requested its cancellation
-	doneTasks          map[string]bool
-	runningOn          map[string]*Worker
-	confirmedDone      bool
-	endConfirmedAt     time.Duration // when its user was first told that it is done or cancelled
-	cancelConfirmedAt  time.Duration
+	waitedWithCapacity time.Duration      // how long it has waited although there is capacity for it
+	submittedAt        time.Duration      // first submission
+	firstStartedAt     time.Duration      // first start of a task; 0: none yet
+	cancelRequested    bool               // its user has requested its cancellation
+	doneTasks          map[string]bool    // tasks that have completed
+	runningOn          map[string]*Worker // machines of the tasks on machines, by task name
+	confirmedDone      bool               // its user was told that it is done
+	endConfirmedAt     time.Duration      // when its user was first told that it is done or cancelled
+	cancelConfirmedAt  time.Duration      // when its user was first told that it is cancelled; 0: not yet
 }
 
 // reportViolation records a violation of a rule.
@@ -75,32 +75,32 @@
 	c.TaskStarts++
 	c.sim.tracef("task %s attempt %d runs on %s", task, run.attempt, wk.info.Host)
 	if other := job.runningOn[task]; other != nil {
-		c.reportViolation("ran_twice", "%s on %s and %s", task, other.info.Host, wk.info.Host)
+		c.reportViolation("ran_twice", "%s runs on %s and %s", task, other.info.Host, wk.info.Host)
 	}
 	spec := &job.spec
 	if !spec.AllowsType(wk.info.Type) || spec.Zone != "" && spec.Zone != wk.info.Zone || wk.info.Spot && !spec.Spot {
-		c.reportViolation("wrong_place", "%s on %s", task, wk.info.Host)
+		c.reportViolation("wrong_place", "%s runs on %s, which its job does not permit", task, wk.info.Host)
 	}
 	inZone := 1
 	for _, other := range job.runningOn {
 		if other.info.Zone == wk.info.Zone {
 			inZone++
 		} else if spec.OneZone {
-			c.reportViolation("wrong_place", "%s in %s, other tasks in %s", task, wk.info.Zone, other.info.Zone)
+			c.reportViolation("wrong_place", "%s runs in %s and other tasks in %s, want all in one zone", task, wk.info.Zone, other.info.Zone)
 		}
 	}
 	if spec.Spread && inZone > spec.MaxTasksPerZone() {
-		c.reportViolation("wrong_place", "%d tasks of %s in %s", inZone, spec.ID, wk.info.Zone)
+		c.reportViolation("wrong_place", "%d tasks of %s run in %s, more than its spread permits", inZone, spec.ID, wk.info.Zone)
 	}
 	if job.cancelConfirmedAt != 0 && c.sim.Now > job.cancelConfirmedAt+c.sim.Options.Config.CancelWithin {
-		c.reportViolation("ran_cancelled", "%s starts", task)
+		c.reportViolation("ran_cancelled", "%s starts after the time allowed to stop cancelled tasks", task)
 	}
 	if job.cancelConfirmedAt != 0 {
 		c.StartsAfterCancellation++
-		// A start order sent before the confirmation can arrive after it, also at a
-		// machine that was paused. CancelWithin - Lease after the confirmation no
-		// leader's view of the state may be old enough to miss the cancellation, so no
-		// task may start any more.
+		// A start order that was on its way, also to a paused machine, can arrive after
+		// the confirmation. But from CancelWithin - Lease after the confirmation on, even
+		// the oldest view of the state that a leader may act on contains the
+		// cancellation, so no task may start any more.
 		if limit := c.sim.Options.Config.CancelWithin - c.sim.Options.Config.Lease; c.sim.Now > job.cancelConfirmedAt+limit {
 			c.reportViolation("late_start", "%s starts, its cancellation was confirmed at %v", task, job.cancelConfirmedAt)
 		}
@@ -203,7 +203,7 @@
 	limit := c.sim.Options.Config.CancelWithin
 	c.sim.After(limit+time.Millisecond, func() {
 		for task := range job.runningOn {
-			c.reportViolation("ran_cancelled", "%s", task)
+			c.reportViolation("ran_cancelled", "%s still runs after the time allowed to stop cancelled tasks", task)
 		}
 	})
 }
--- a/internal/sim/check_liveness.go
+++ b/internal/sim/check_liveness.go
@@ -15,7 +15,7 @@
 const maxWaitWithCapacity = 90 * time.Second
 
 // CheckWaiting checks every second from now on that no job waits for
-// maxWaitWithCapacity although a machine that it may use has capacity for it and its
+// maxWaitWithCapacity although machines that it may use have capacity for it and its
 // team is below its limit.
 func (c *Checker) CheckWaiting() {
 	for _, id := range sortedKeys(c.jobs) {
@@ -25,7 +25,7 @@
 			continue
 		}
 		if job.waitedWithCapacity += time.Second; job.waitedWithCapacity == maxWaitWithCapacity {
-			c.reportViolation("left_waiting", "%s: %d of %d tasks on machines, %d done", id, len(job.runningOn), job.spec.Tasks, len(job.doneTasks))
+			c.reportViolation("left_waiting", "%s waits although there is capacity for it: %d of %d tasks on machines, %d done", id, len(job.runningOn), job.spec.Tasks, len(job.doneTasks))
 		}
 	}
 	c.sim.After(time.Second, c.CheckWaiting)
@@ -126,7 +126,8 @@
 
 // CheckServed checks at the end of a run that at least half of the accepted, uncancelled
 // jobs have started in every class, in every team and among the largest jobs of each
-// class, and that each of the largest jobs started within maxStartDelay.
+// class, which are those with the most tasks. It also checks that each of the largest
+// jobs started within maxStartDelay.
 func (c *Checker) CheckServed() {
 	type tally struct{ jobs, started int }
 	tallies := map[string]*tally{}
@@ -161,7 +162,7 @@
 	}
 	for _, group := range sortedKeys(tallies) {
 		if groupTally := tallies[group]; 2*groupTally.started < groupTally.jobs {
-			c.reportViolation("starved", "%s: %d of %d jobs started", group, groupTally.started, groupTally.jobs)
+			c.reportViolation("starved", "%s: got %d of %d jobs started, want at least half", group, groupTally.started, groupTally.jobs)
 		}
 	}
 }
@@ -200,7 +201,7 @@
 		if job.spec.Kind == model.KindService && !job.cancelRequested {
 			c.sim.At(c.sim.Now+within, func() {
 				if len(job.runningOn) != job.spec.Tasks {
-					c.reportViolation("forgotten", "%s: got %d of %d replicas running", id, len(job.runningOn), job.spec.Tasks)
+					c.reportViolation("forgotten", "%s: got %d of %d replicas running, want all", id, len(job.runningOn), job.spec.Tasks)
 				}
 			})
 		}
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -37,8 +37,9 @@
 	return e
 }
 
-// TestCheckerReportsEachViolation breaks the service on purpose, once for each rule, and
-// checks that the checker reports a violation of that rule.
+// TestCheckerReportsEachViolation breaks the service on purpose, once for each rule in
+// its table, and checks that the checker reports a violation of that rule. Otherwise
+// whole-service tests could pass although a rule is violated.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	var repeatedStarts []model.Order
 	heldStarts := map[string]model.Order{}
@@ -57,6 +58,8 @@
 		setup  func(sim *Simulation)
 	}{
 		{rule: "ran_twice", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
+			// Each task is also started, as a further attempt, on every machine that gets
+			// orders from then on, and no task is stopped.
 			return editOrders(e, func(orders []model.Order) []model.Order {
 				for _, order := range orders {
 					if order.Verb == model.OrderStart {
@@ -67,6 +70,7 @@
 			})
 		}},
 		{rule: "quota", setup: func(sim *Simulation) {
+			// The controllers have started without this limit, so only the checker knows it.
 			sim.Options.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
 		}},
 		{rule: "wrong_place", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -12,10 +12,10 @@
 // Cloud simulates the cloud, which rents machines out and lists them.
 type Cloud struct {
 	sim          *Simulation
-	Unavailable  bool                // outage: every call gets 503
-	machineCount int                 // number of machines rented so far, for their names
-	rentals      map[string][]string // hosts rented by each request, by request name
-	machines     map[string]*rentedMachine
+	Unavailable  bool                      // outage: every call gets 503
+	machineCount int                       // number of machines rented so far, for their names
+	rentals      map[string][]string       // hosts rented by each request, by request name
+	machines     map[string]*rentedMachine // by host, removed ones included
 	// BootTimeFactor multiplies boot times. 0 means 1.
 	BootTimeFactor float64
 }
@@ -75,7 +75,8 @@
 }
 
 // Rent rents up to the requested number of machines, as far as Options.Capacity
-// allows, and boots them. Boot times vary between 0.6 and 1.5 times the nominal one.
+// allows, boots them and returns their hosts. Boot times vary between 0.6 and 1.5 times
+// the nominal one.
 func (c *Cloud) Rent(typeName, zone string, spot bool, requested int) []string {
 	var machineType *model.MachineType
 	for i := range c.sim.Options.Types {
@@ -113,7 +114,8 @@
 	return hosts
 }
 
-// Reclaim gives the worker a reclaim notice and removes the machine when it ends.
+// Reclaim gives the worker a reclaim notice and removes the machine after the notice
+// period.
 func (c *Cloud) Reclaim(host string, notice time.Duration) {
 	if wk := c.sim.Workers["w"+host]; wk != nil {
 		wk.reclaimAt, wk.hasChanges = c.sim.Now+notice, true
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -26,7 +26,7 @@
 	StepDuration    time.Duration
 	busyUntil       time.Duration // when all queued steps are complete
 	clockDrift      float64       // relative error of the monotonic clock
-	wallClockOffset float64       // error of the wall clock, as a fraction of MaxClockSkew
+	wallClockOffset float64       // constant error of the wall clock, as a fraction of MaxClockSkew
 }
 
 // IsRunning reports whether the process runs.
@@ -88,8 +88,8 @@
 }
 
 // Pause pauses the process for d while the clocks run on. The pause takes effect in
-// the next step that has effects: the core makes the step before the pause, and the
-// effects are applied after it.
+// the next step that has effects, between the core's decision and its execution: the
+// core makes that step before the pause, and the effects are applied after it.
 func (c *Controller) Pause(d time.Duration) {
 	if c.State == nil || c.paused != nil {
 		return
@@ -118,7 +118,8 @@
 	if c.incarnation != incarnation || c.State == nil {
 		return
 	}
-	// The error of the wall clock varies within MaxClockSkew.
+	// The error of the wall clock varies around its constant part, but stays within
+	// MaxClockSkew.
 	offsetS := (c.wallClockOffset + 0.3*math.Sin(c.sim.Now.Seconds()/17+float64(c.index))) * c.sim.Options.Config.MaxClockSkew.Seconds()
 	c.Step(core.Tick{WallMs: c.sim.Now.Milliseconds() + 1e9 + int64(1000*offsetS)})
 	c.sim.After(50*time.Millisecond, func() { c.tick(incarnation) })
@@ -228,8 +229,8 @@
 	agentTimeout = 1500 * time.Millisecond
 )
 
-// callCloud sends a call to the cloud, with cloudTimeout as its timeout. See callStore
-// for what happens after the timeout.
+// callCloud sends a call to the cloud and waits up to cloudTimeout for the answer. See
+// callStore for what happens after the timeout.
 func (c *Controller) callCloud(call core.CloudCall) {
 	sim, ifAlive := c.sim, c.ifSameIncarnation()
 	sim.send(c.Name, "cloud", func() {
@@ -240,9 +241,9 @@
 	sim.After(cloudTimeout, ifAlive(func() { c.deliver(core.CloudResult{CallID: call.CallID}) }))
 }
 
-// callAgent sends a command to a worker, unless the controller's right to send it has
-// expired, with agentTimeout as its timeout. See callStore for what happens after the
-// timeout.
+// callAgent sends a command to a worker and waits up to agentTimeout for the answer. It
+// sends nothing if the controller's right to send the command has expired. See callStore
+// for what happens after the timeout.
 func (c *Controller) callAgent(call core.AgentCall) {
 	sim, ifAlive := c.sim, c.ifSameIncarnation()
 	if c.monotonicNow() >= call.SendBefore {
@@ -291,8 +292,9 @@
 	c.sim.tracef("%s", b.String())
 }
 
-// sendRequest sends a request to the controller and passes the reply to f. The reply
-// is empty if the process is down. newEvent creates the event from the request id.
+// sendRequest sends a request to the controller and passes the reply to handleReply.
+// The reply is empty if the process is down, and becomes 503 if the controller's right
+// to send it has expired. newEvent creates the event from the request id.
 func (c *Controller) sendRequest(from string, newEvent func(uint64) core.Event, handleReply func(core.Reply)) {
 	sim := c.sim
 	sim.send(from, c.Name, func() {
@@ -326,8 +328,8 @@
 	return found
 }
 
-// deliverReportsToNextLeader checks every 10 ms for a new leader. It then sends the
-// reports kept for that moment to every controller.
+// deliverReportsToNextLeader checks every 10 ms whether another controller leads than
+// before. If so, it sends the reports kept for that moment to every controller.
 func (s *Simulation) deliverReportsToNextLeader() {
 	if leader := s.Leader(); leader != nil && leader != s.lastLeader {
 		s.lastLeader = leader
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// taskGone handles that a task is gone from its machine.
+// taskGone handles that a task is gone from its machine, which breaks an attempt that has
+// started and is not settled.
 func (g *gangAttempt) taskGone(name string, now time.Duration) {
 	delete(g.members, name)
 	if g.started && g.brokenAt == 0 && !g.settled {
@@ -58,7 +59,8 @@
 }
 
 // settleProgress records the progress of an attempt that has ended without saving on
-// the stop order. That is the progress at its last regular checkpoint.
+// the stop order. That is the progress at its last regular checkpoint, before the stop
+// order if there was one.
 func (g *gangAttempt) settleProgress(now time.Duration) {
 	if g.settled {
 		return
@@ -158,7 +160,7 @@
 		}
 	}
 	if run.state == model.TaskSaving && (graceS == nil || *graceS > 0) {
-		return
+		return // it is saving already; only a grace period of 0 ends that
 	}
 	wk.exitTask(name, run, model.CauseStopped)
 }
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -1,6 +1,6 @@
 // Package sim simulates everything that the controllers communicate with: the
 // state service, the cloud, workers, users and the network between them. It runs
-// on a virtual clock, and a checker watches the rules of the protocol.
+// on a virtual clock, and a checker records violations of the protocol's rules.
 // Whole-service tests run several controller cores against it without sockets or
 // real waiting. The same seed always gives the same run.
 package sim
@@ -36,7 +36,8 @@
 	// advances its tasks and reports. 0 means 20 ms.
 	WorkerStepInterval time.Duration
 	// ConfigurePreviousVersion, if set, makes all controllers start with the previous
-	// version. It changes Config to what that version makes of the same settings.
+	// version. It changes a controller's copy of Config to what that version makes of
+	// the same settings.
 	ConfigurePreviousVersion func(*core.Config)
 	// Tamper, if set, can replace the effects of a controller. Tests use it to break
 	// the service on purpose or to observe the effects.
@@ -63,8 +64,8 @@
 	LateReportCopyFraction float64
 	// RepeatFraction is the fraction of requests that are carried out a second time
 	// later: commands, calls to the state service and the cloud, messages between
-	// controllers, and users' submissions and cancellations. The second answer is
-	// dropped.
+	// controllers, and users' submissions and cancellations. The answer to the second
+	// one is dropped.
 	RepeatFraction float64
 
 	// LateCommandFraction is the fraction of direct commands that the network delays
@@ -72,8 +73,8 @@
 	// session still match.
 	LateCommandFraction float64
 
-	// NextStartRefusal, if not empty, is the cause with which the next machine that is
-	// ordered to start a task refuses it. RefusedStarts counts such refusals.
+	// NextStartRefusal, if not empty, is the cause with which the next start of a task
+	// is refused, on whichever machine. RefusedStarts counts such refusals.
 	NextStartRefusal string
 	RefusedStarts    int
 
@@ -81,18 +82,19 @@
 	// kept and delivered to every controller when the next leader takes over.
 	NextLeaderCopyFraction float64
 	reportsForNextLeader   []model.Report
-	lastLeader             *Controller
+	lastLeader             *Controller // the leader that was last observed
 
 	// OnPreviousVersion holds, by name, whether a controller runs the previous version
 	// from its next start on.
 	OnPreviousVersion map[string]bool
 
-	links        map[[2]string]*link
-	Trace        []string // log of the events, one line each
-	TraceEnabled bool     // whether Trace is recorded
+	links        map[[2]string]*link // by sender and receiver
+	Trace        []string            // log of the events, one line each
+	TraceEnabled bool                // whether Trace is recorded
 }
 
-// DefaultOptions describes a small deployment: three controllers in three zones.
+// DefaultOptions returns the options of a small deployment: three controllers in three
+// zones.
 func DefaultOptions(seed uint64) Options {
 	zones := []string{"a", "b", "c"}
 	return Options{
@@ -132,16 +134,16 @@
 	return s
 }
 
-// At runs f at time t, or now if t has passed.
+// At schedules f to run at time t, or at the current time if t has passed.
 func (s *Simulation) At(t time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{max(t, s.Now), s.seq, f})
 }
 
-// After runs f after the duration d.
+// After schedules f to run after the duration d.
 func (s *Simulation) After(d time.Duration, f func()) { s.At(s.Now+d, f) }
 
-// RunUntil runs all events up to time t.
+// RunUntil runs all events up to time t and sets the clock to t.
 func (s *Simulation) RunUntil(t time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= t {
 		e := heap.Pop(&s.queue).(event)
@@ -158,6 +160,7 @@
 	}
 }
 
+// sortedKeys returns the keys of a map in lexical order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -15,7 +15,7 @@
 	sim           *Simulation
 	revision      uint64
 	items         map[string]*storedValue
-	changeLog     []core.Item // all changes by revision, for watches
+	changeLog     []core.Item // all changes in the order of their revisions, for watches
 	leases        map[uint64]*lease
 	lastLeaseID   uint64
 	Unavailable   bool            // outage: every controller gets 503
@@ -35,11 +35,11 @@
 	MaxValueBytes, MaxTxnChanges, MaxWritesPerSecond int
 	RefusedTooLarge, RefusedRateLimited              int
 	recentWrites                                     []time.Duration // time of each change in the last second
-	// MaxExtraLatency, if set, delays each answer by a random time up to it. Answers to
-	// blocking watches are not delayed.
+	// MaxExtraLatency, if set, delays each call that is applied and answered by a random
+	// time up to it. Blocking watches are not delayed.
 	MaxExtraLatency time.Duration
 	watches         []*watch // watch calls that wait for a change
-	TxnCount        int      // transactions received, refused ones included
+	TxnCount        int      // transactions applied or refused by transact, repeated ones included
 }
 
 // storedValue is the current value of a key.
@@ -102,8 +102,8 @@
 	s.answerWatches()
 }
 
-// serve handles a call of a controller with the faults that are set. It calls reply
-// with the result, unless the call gets no answer.
+// serve handles a call of a controller and injects the faults that are set. It calls
+// reply with the result, unless the call gets no answer.
 func (s *Store) serve(controller string, call core.StoreCall, reply func(core.StoreResult)) {
 	if call.Op == core.StoreWatch && call.BlockTimeout > 0 {
 		pending := &watch{call: call, reply: reply, controller: controller}
@@ -134,7 +134,7 @@
 	}
 }
 
-// answerWatches answers all watches that a change concerns.
+// answerWatches answers all watches that have changes to report, and forgets them.
 func (s *Store) answerWatches() {
 	for _, pending := range s.watches {
 		s.answerWatch(pending, false)
@@ -184,7 +184,8 @@
 	return result
 }
 
-// list returns keys in lexical order, up to the limit of the call.
+// list adds the items with the call's prefix to the result in lexical order of their
+// keys, up to the limit of the call.
 func (s *Store) list(call core.StoreCall, result *core.StoreResult) {
 	keys := sortedKeys(s.items)
 	for i := sort.SearchStrings(keys, call.Prefix); i < len(keys) && strings.HasPrefix(keys[i], call.Prefix); i++ {
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -28,12 +28,12 @@
 		Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 2, EstimateS: 10}
 }
 
-// runningMachine returns the machine that a task runs on, or nil.
+// runningMachine returns the machine on which a task runs, or nil.
 func (s *Simulation) runningMachine(task string) *Worker {
 	return s.Checker.jobOf(task).runningOn[task]
 }
 
-// machineWithTask returns a machine that reports a task in any state, or nil.
+// machineWithTask returns a machine that has a task in any state, or nil.
 func (s *Simulation) machineWithTask(task string) *Worker {
 	for _, endpoint := range sortedKeys(s.Workers) {
 		if s.Workers[endpoint].tasks[task] != nil {
@@ -57,7 +57,7 @@
 	s.At(from, check)
 }
 
-// countInState counts the tasks of a job that are in a state on some machine.
+// countInState returns how many tasks of a job are in a state, over all machines.
 func (s *Simulation) countInState(job, state string) int {
 	count := 0
 	for _, wk := range s.Workers {
@@ -372,7 +372,8 @@
 	}},
 }
 
-// TestTraces runs each scenario and compares its trace with the one kept in testdata.
+// TestTraces runs each scenario and compares its trace, line by line, with the one kept
+// in testdata, so that no change of what the service does goes unnoticed.
 func TestTraces(t *testing.T) {
 	for _, scenario := range traceScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -408,7 +409,7 @@
 }
 
 // TestSameSeedSameTrace checks that two runs with the same seed have the same trace.
-// Otherwise traces could not be kept.
+// Otherwise kept traces could not be compared with new ones.
 func TestSameSeedSameTrace(t *testing.T) {
 	run := func() string {
 		options := DefaultOptions(5)
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -11,7 +11,8 @@
 type Users struct {
 	sim *Simulation
 	// ProbesAllControllers makes users poll all controllers within milliseconds, and
-	// submit the job again, whenever a job is accepted, cancelled or done.
+	// submit the job again, whenever a job is accepted or they are told that it is
+	// cancelled or done.
 	ProbesAllControllers bool
 	// StopsPollingAtEnd makes users stop polling a job once its end is confirmed to
 	// them. Without it they poll once more.
@@ -61,7 +62,7 @@
 func (u *Users) SubmitImpossible(spec model.Job) {
 	u.sendRequest(u.submitEvent(spec), 5*time.Second, func(r core.Reply) {
 		if r.Status == 200 || r.Status == 201 || r.Status == 400 {
-			u.sim.Checker.reportViolation("accepted", "%s, which can never run: got status %d, want 422", spec.ID, r.Status)
+			u.sim.Checker.reportViolation("accepted", "%s, which can never run: got status %d, want none of 200, 201 and 400", spec.ID, r.Status)
 		}
 	})
 }
@@ -70,7 +71,8 @@
 func (u *Users) Submit(spec model.Job, runTime time.Duration) { u.SubmitStaggered(spec, runTime, 0) }
 
 // SubmitStaggered is like Submit, but each task runs for step longer than the one
-// before it. Users retry a submission every second for up to 60 s.
+// before it. The user retries the submission every second for up to 60 s, until it is
+// accepted, or refused with 400 or 422.
 func (u *Users) SubmitStaggered(spec model.Job, runTime, step time.Duration) {
 	sim := u.sim
 	job := sim.Checker.addJob(spec, runTime)
@@ -121,7 +123,7 @@
 	})
 }
 
-// pollOnce polls a job at a random controller.
+// pollOnce polls a job at a random controller and passes the reply to handleReply.
 func (u *Users) pollOnce(id string, handleReply func(core.Reply)) {
 	u.sendRequest(func(req uint64) core.Event { return core.Poll{RequestID: req, ID: id} }, 2*time.Second, handleReply)
 }
@@ -131,7 +133,8 @@
 
 // CancelVia cancels a job. The first request goes to the given controller (nil: a
 // random one), retries go to random ones. The user retries every second until a request
-// succeeds or the end of the job is confirmed.
+// succeeds or the end of the job is confirmed, and gives up if the answer is 404 before
+// the job has been accepted.
 func (u *Users) CancelVia(id string, controller *Controller) {
 	job := u.sim.Checker.jobs[id]
 	job.cancelRequested = true
@@ -163,7 +166,7 @@
 func (u *Users) PollUnknown(id string) {
 	u.pollOnce(id, func(r core.Reply) {
 		if r.Status == 200 {
-			u.sim.Checker.reportViolation("invented", "%s", id)
+			u.sim.Checker.reportViolation("invented", "%s was never submitted, but a poll of it got status 200", id)
 		}
 	})
 }
@@ -173,8 +176,8 @@
 	u.sendRequestTo(nil, newEvent, timeout, handleReply)
 }
 
-// sendRequestTo sends a request to a controller, or to a random one if controller is nil, and
-// passes the reply to f. The reply is empty after the timeout.
+// sendRequestTo sends a request to a controller, or to a random one if controller is
+// nil, and passes the reply to handleReply. The reply is empty after the timeout.
 func (u *Users) sendRequestTo(controller *Controller, newEvent func(uint64) core.Event, timeout time.Duration, handleReply func(core.Reply)) {
 	sim := u.sim
 	if controller == nil {
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -27,11 +27,11 @@
 	reclaimAt time.Duration // when the cloud reclaims the machine; 0: no notice given
 
 	session, seq, epoch uint64
-	leaseStartedAt      time.Duration
+	leaseStartedAt      time.Duration // when the report that renewed the lease was sent, or the session began
 	tasks               map[string]*taskRun
 	images              map[string]bool // images in the cache
-	targetController    int
-	reportInFlight      int // number of the report that waits for its answer; 0: none
+	targetController    int             // index of the controller that gets the next report
+	reportInFlight      int             // number of the report that waits for its answer; 0: none
 	reportCount         int
 	nextReportAt        time.Duration
 	hasChanges          bool // there is something to report before the regular report is due
@@ -70,7 +70,8 @@
 	delete(wk.sim.Workers, wk.info.Endpoint)
 }
 
-// Pause pauses the machine for d. It then resumes with the commands that have arrived.
+// Pause pauses the machine for d. Its tasks take that much longer. The machine then
+// resumes with the commands that have arrived.
 func (wk *Worker) Pause(d time.Duration) {
 	wk.Paused = true
 	wk.sim.tracef("machine %s is paused", wk.info.Host)
@@ -155,7 +156,7 @@
 				_, i, _ := model.ParseTaskName(name)
 				run.endsAt = wk.sim.Now + job.runTime + time.Duration(i)*job.runTimeStep
 				if job.spec.Kind == model.KindService {
-					run.endsAt = 1 << 62
+					run.endsAt = 1 << 62 // never
 				}
 				wk.sim.Checker.taskStarted(name, wk, run)
 				if job.doneTasks[name] {
@@ -185,9 +186,9 @@
 	run.state, run.cause, wk.hasChanges = model.TaskExited, cause, true
 }
 
-// handleCommands carries out a direct command and answers with a report. It refuses
-// the orders if the epoch is lower than the worker's or the session differs. A paused
-// machine does this when it resumes.
+// handleCommands carries out the orders of a direct command and answers with a report.
+// It refuses the orders if the epoch is lower than the worker's or the session differs.
+// A paused machine does this when it resumes.
 func (wk *Worker) handleCommands(call core.AgentCall, reply func(core.AgentResult)) {
 	handle := func() {
 		if wk.stopped {
@@ -215,8 +216,8 @@
 }
 
 // raiseEpoch applies the epoch of an answer or command. A higher epoch triggers a
-// report of its own, but at most once per half lease (see PROTOCOL). If the leader
-// changes more often, the next regular report shows the latest epoch.
+// report of its own, but at most once per half lease (PROTOCOL). If the leader changes
+// more often, the next regular report shows the latest epoch.
 func (wk *Worker) raiseEpoch(epoch uint64) {
 	if epoch <= wk.epoch {
 		return
@@ -242,7 +243,7 @@
 	wk.targetController = wk.sim.Rand.IntN(len(wk.sim.Controllers))
 }
 
-// executeOrders carries out orders in sequence.
+// executeOrders carries out orders one after another.
 func (wk *Worker) executeOrders(orders []model.Order) {
 	for _, order := range orders {
 		run := wk.tasks[order.Task]
@@ -304,7 +305,7 @@
 		return
 	}
 	if run.state == model.TaskSaving && (order.GraceS == nil || *order.GraceS > 0) {
-		return
+		return // it is saving already; only a grace period of 0 ends that
 	}
 	wk.exitTask(order.Task, run, model.CauseStopped)
 }
--- a/internal/sim/worker_reports.go
+++ b/internal/sim/worker_reports.go
@@ -90,9 +90,10 @@
 	wk.nextReportAt = wk.sim.Now + delay
 }
 
-// handleReportReply handles the answer to a report: 200 renews the lease and carries
-// orders, 421 names the leader, and on any other status the worker turns to the next
-// controller.
+// handleReportReply handles the answer to a report. 200 renews the lease and carries
+// orders; the worker ignores it if the report was of an earlier session, or if its epoch
+// is 0 or lower than the worker's. If 421 names another controller as the leader, the
+// worker turns to it within 500 ms. On any other answer it turns to the next controller.
 func (wk *Worker) handleReportReply(controller *Controller, sentAt time.Duration, session uint64, reply core.Reply) {
 	sim := wk.sim
 	switch reply.Status {
