--- a/internal/sim/gang_faults_test.go
+++ b/internal/sim/gang_faults_test.go
@@ -65,7 +65,7 @@
 }
 
 // refuseReplacement returns a fault: a gathering task is lost, and the first
-// machine that is sent a replacement for it refuses the start with the given cause.
+// machine that is ordered to start a replacement for it refuses with the given cause.
 func refuseReplacement(cause string) func(sim *Simulation) {
 	return func(sim *Simulation) {
 		sim.Cloud.Rent("small", "b", false, 4)
@@ -73,11 +73,11 @@
 	}
 }
 
-// checkStartRefused checks that a machine refused a start, so that the row tests
-// what it is meant to test.
+// checkStartRefused checks that a machine refused a start. Without a refusal the row
+// would not test the fault that it names.
 func checkStartRefused(t *testing.T, sim *Simulation) {
 	if sim.RefusedStarts == 0 {
-		t.Error("got no refused replacement, want at least one")
+		t.Error("got no refused start, want at least one")
 	}
 }
 
@@ -97,9 +97,10 @@
 	return n
 }
 
-// TestGangFaults runs one gang and injects one fault at a critical moment of its
-// life. No rule may be violated, the gang must be done by a given time unless it
-// is cancelled, and it may not take more attempts than the fault explains.
+// TestGangFaults runs one gang and injects one fault at a critical moment, such as
+// between the first and the last start of its tasks. No rule may be violated, the gang
+// must be done by a given time unless it is cancelled, and it may not take more attempts
+// than the fault explains.
 func TestGangFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -107,13 +108,14 @@
 		editOptions func(opt *Options)
 		inject      func(sim *Simulation)
 		doneBy      time.Duration // latest time at which the gang is done; 0: it is cancelled
-		// maxAttempts limits the attempts: the lost ones and one more.
+		// maxAttempts is the largest number of attempts allowed: those that the fault ends
+		// and one more.
 		maxAttempts int
 		check       func(t *testing.T, sim *Simulation)
 	}{
-		{name: "a replacement is refused because the machine is full", inject: refuseReplacement(model.CauseNoCapacity), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
-		{name: "a replacement is refused because the task is in use", inject: refuseReplacement(model.CauseInUse), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
-		{name: "a replacement is refused because there is no such task", inject: refuseReplacement(model.CauseNoSuchTask), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
+		{name: "a replacement is refused with the cause full", inject: refuseReplacement(model.CauseNoCapacity), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
+		{name: "a replacement is refused with the cause in_use", inject: refuseReplacement(model.CauseInUse), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
+		{name: "a replacement is refused with the cause no_such", inject: refuseReplacement(model.CauseNoSuchTask), doneBy: 70 * second, maxAttempts: 1, check: checkStartRefused},
 		{name: "the machine of a replacement never answers", inject: func(sim *Simulation) {
 			sim.Cloud.Rent("small", "b", false, 2)
 			sim.loseGatheringTask(func() {
@@ -167,9 +169,9 @@
 		}, doneBy: 100 * second, maxAttempts: 2},
 		{name: "a machine is reclaimed, and the stop commands arrive as the gang completes", inject: func(sim *Simulation) {
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
-				// The leader sends the stop commands earlier than the machine is
-				// reclaimed, by the time for a save (2 s) and a report interval. Depending
-				// on the seed, they arrive within the last fifth of a second of the gang.
+				// The leader sends the stop commands before the machine is reclaimed,
+				// earlier by the time for a save (2 s) and a report interval. They arrive
+				// in the last fifth of a second of the gang; the seed varies the moment.
 				stopLead := 2*second + sim.Options.Config.ReportInterval + time.Duration(sim.Options.Seed%3)*60*time.Millisecond
 				sim.After(20*second-9*second+stopLead-60*time.Millisecond, sim.reclaimFirstGangMachine)
 			})
@@ -268,10 +270,10 @@
 					t.Errorf("seed %d: %s", seed, violation)
 				}
 				if done := job.confirmedDone && job.endConfirmedAt <= tc.doneBy; done != (tc.doneBy > 0) {
-					t.Errorf("seed %d: got done %v at %v, want done by %v (0: cancelled)", seed, job.confirmedDone, job.endConfirmedAt, tc.doneBy)
+					t.Errorf("seed %d: got done %v at %v, want done by %v (0s: cancelled)", seed, job.confirmedDone, job.endConfirmedAt, tc.doneBy)
 				}
 				if tc.doneBy == 0 && (job.cancelConfirmedAt == 0 || len(job.runningOn) > 0) {
-					t.Errorf("seed %d: got cancellation confirmed at %v and %d tasks still running, want it confirmed and no tasks", seed, job.cancelConfirmedAt, len(job.runningOn))
+					t.Errorf("seed %d: got cancellation confirmed at %v (0s: not) and %d tasks still running, want it confirmed and no tasks", seed, job.cancelConfirmedAt, len(job.runningOn))
 				}
 				t.Logf("seed %d: %d attempts, %d of them started, done at %v, %v of progress saved", seed, sim.gangAttemptCount(), sim.startedGangAttemptCount(), job.endConfirmedAt, job.savedProgress)
 				if n := sim.gangAttemptCount(); n > tc.maxAttempts {
@@ -291,8 +293,8 @@
 	}
 }
 
-// checkSavedProgress returns a check that at least so much of the gang's progress
-// was saved.
+// checkSavedProgress returns a check that the saved progress of the gang is at least
+// the given duration.
 func checkSavedProgress(least time.Duration) func(*testing.T, *Simulation) {
 	return func(t *testing.T, sim *Simulation) {
 		if progress := sim.Checker.jobs[gangID].savedProgress; progress < least {
@@ -301,8 +303,8 @@
 	}
 }
 
-// holdCommands delays everything that controllers send to a machine: it is
-// delivered after the given duration.
+// holdCommands makes the network hold everything that controllers send to a machine,
+// and deliver it after the given duration.
 func (s *Simulation) holdCommands(endpoint string, duration time.Duration) {
 	for _, controller := range s.Controllers {
 		s.link(controller.Name, endpoint).mode = "hold"
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -20,8 +20,8 @@
 
 // submitGangs submits a gang of one to six tasks every 5 s until the given time.
 // Some must be in one zone, some may use spot machines, some belong to a team with
-// a limit, and some preempt other work by their priority or by the guarantee of
-// their team.
+// a limit, and some preempt other work by their priority or by the guarantee of their
+// team.
 func submitGangs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+5*second {
 		job := gangOf(fmt.Sprintf("req-%06d", 300000+i), 1+(i*5)%6)
@@ -103,12 +103,12 @@
 					if job.accepted && !job.cancelRequested && job.spec.Kind == model.KindGang {
 						gangs++
 						if job.confirmedDone || !sim.Checker.canStart(job) {
-							done++ // services may have left no zone with enough capacity for it
+							done++ // services or the team's limit may leave no capacity for the gang
 						}
 					}
 				}
 				if gangs == 0 || done < gangs {
-					t.Errorf("seed %d: got %d of %d gangs done at the end, want all of at least one", seed, done, gangs)
+					t.Errorf("seed %d: got %d of %d gangs done at the end, want at least one gang and all of them done", seed, done, gangs)
 				}
 				t.Logf("seed %d: %d of %d gangs done, %d starts", seed, done, gangs, sim.Checker.TaskStarts)
 			}
@@ -136,14 +136,14 @@
 	sim.At(60*second, func() { sim.Users.Submit(gang, 10*second) })
 	sim.RunUntil(60 * second)
 	if n := sim.runningTaskCount(); n < 60 {
-		t.Fatalf("got %d tasks running on 72 CPUs before the gang comes, want at least 60", n)
+		t.Fatalf("got %d tasks running on 72 CPUs before the gang is submitted, want at least 60", n)
 	}
 	sim.RunUntil(120 * second)
 	if job := sim.Checker.jobs[gang.ID]; job.firstStartedAt == 0 || job.firstStartedAt > 105*second {
-		t.Errorf("got gang submitted at 60 s and first started at %v, want a start by 105 s", job.firstStartedAt)
+		t.Errorf("gang submitted at 60 s: got first start at %v (0s: none), want it by 105 s", job.firstStartedAt)
 	}
 	if n := sim.runningTaskCount(); n < 50 {
-		t.Errorf("got %d tasks running on 72 CPUs after the gang, want at least 50", n)
+		t.Errorf("got %d tasks running on 72 CPUs at 120 s, after the gang, want at least 50", n)
 	}
 	for _, violation := range sim.Checker.Violations {
 		t.Error(violation)
@@ -159,9 +159,9 @@
 	return n
 }
 
-// TestSpareCapacityForGangs checks that capacity for one gang is kept free while
-// gangs come that should start sooner than a machine boots, and that the machines
-// are returned when no more gangs come.
+// TestSpareCapacityForGangs checks that capacity for one gang is reserved while gangs
+// are submitted that should start sooner than a machine boots, and that the machines are
+// returned when no more gangs are submitted.
 func TestSpareCapacityForGangs(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
@@ -178,7 +178,7 @@
 		}
 	}
 	if lateGangs > 1 {
-		t.Errorf("got %d of the 7 gangs after 40 s starting later than 5 s after submission, want at most 1", lateGangs)
+		t.Errorf("gangs submitted after 40 s: got %d of 7 started later than 5 s after submission, want at most 1", lateGangs)
 	}
 	if n := len(sim.Workers); n > 0 {
 		t.Errorf("got %d machines up 100 s after the last gang, want 0", n)
@@ -203,7 +203,7 @@
 		job.Class = "array"
 		sim.At(time.Duration(20+25*i)*second, func() { sim.Users.Submit(job, 8*second) })
 	}
-	var rented, idle time.Duration // machine time from 300 s on
+	var rented, idle time.Duration // summed over all machines, from 300 s on
 	sim.At(300*second, func() {
 		var sample func()
 		sample = func() {
@@ -220,11 +220,11 @@
 	sim.RunUntil(550 * second)
 	for i := range 20 {
 		if job := sim.Checker.jobs[fmt.Sprintf("req-%06d", i)]; job.firstStartedAt == 0 || job.firstStartedAt-job.submittedAt > 25*second {
-			t.Errorf("array %d: got start %v after its submission at %v, want at most 25 s", i, job.firstStartedAt-job.submittedAt, job.submittedAt)
+			t.Errorf("array %d: got start %v (negative: none) after its submission at %v, want at most 25 s", i, job.firstStartedAt-job.submittedAt, job.submittedAt)
 		}
 	}
 	if job := sim.Checker.jobs[gang.ID]; job.firstStartedAt != 0 || job.confirmedDone || !job.accepted {
-		t.Errorf("got gang accepted %v, first started at %v (0: not); want accepted, not started and not done", job.accepted, job.firstStartedAt)
+		t.Errorf("got gang accepted %v, first started at %v (0s: not); want accepted, not started and not done", job.accepted, job.firstStartedAt)
 	}
 	// The arrays take two to three machines, each of which idles for at most a minute.
 	if meanIdle := idle.Seconds() / 250; meanIdle > 4 {
--- a/internal/sim/gap_test.go
+++ b/internal/sim/gap_test.go
@@ -9,8 +9,8 @@
 // cancelVisibilityFaults are ways in which a leader can miss a cancellation that was
 // confirmed to a user. In each case the state service refuses only the leader, other
 // controllers confirm cancellations, and then the state service is out for all
-// controllers. Each case adds a fault of its own as the state service begins to
-// refuse the leader.
+// controllers. Each case adds a fault of its own as the state service begins to refuse
+// the leader.
 var cancelVisibilityFaults = []struct {
 	name string
 	// inject is called as the state service begins to refuse the leader. The
@@ -30,7 +30,7 @@
 	{"messages of the leader to the confirmer are lost", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.link(leader.Name, confirmer.Name).mode = "drop"
 	}},
-	{"only the confirmer reaches the state service, cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and it is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Store.UnavailableTo[third.Name] = true
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.Cut(third.Name, confirmer.Name, "drop")
@@ -69,7 +69,7 @@
 		sim.link(third.Name, leader.Name).mode = "drop"
 		sim.After(900*time.Millisecond, func() { sim.Heal(confirmer.Name, leader.Name); sim.Heal(third.Name, leader.Name) })
 	}},
-	{"the state service recovers for the confirmer only, which is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the state service recovers for the confirmer only, and the confirmer is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.After(14*second, func() {
 			sim.Cut(leader.Name, confirmer.Name, "drop")
 			sim.Cut(third.Name, confirmer.Name, "drop")
@@ -95,9 +95,9 @@
 }
 
 // isolateAndCrashConfirmer lets only the confirmer use the state service and cuts it
-// off from the other controllers. The confirmer confirms cancellations of which
-// neither of the others learns, crashes after 800 ms and restarts after the given
-// delay, when the network works again.
+// off from the other controllers, so that neither of them learns of the cancellations
+// that it confirms. After 800 ms the confirmer crashes and the network is restored. The
+// confirmer restarts after the given delay.
 func isolateAndCrashConfirmer(sim *Simulation, leader, confirmer, third *Controller, restartDelay time.Duration) {
 	sim.Store.UnavailableTo[third.Name] = true
 	sim.Cut(leader.Name, confirmer.Name, "drop")
@@ -111,11 +111,11 @@
 }
 
 // TestCancellationVisibilityGap checks that the tasks of a cancelled job are gone
-// within cancel_s of the confirmation to the user, however long the state service
-// is out afterwards. A leader that can't learn of all confirmed cancellations must
-// stop acting. It once went on for the whole outage with the promise of the third
-// controller, while the cancellations that the second one had confirmed never
-// reached it.
+// within cancel_s of the confirmation to the user, however long the state service is
+// out afterwards. A leader that can't learn of all confirmed cancellations must stop
+// acting. A leader once acted for the whole outage by the promise of the third
+// controller, while the cancellations that the second one had confirmed never reached
+// it.
 func TestCancellationVisibilityGap(t *testing.T) {
 	for _, fault := range cancelVisibilityFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -164,17 +164,18 @@
 				}
 			}
 			if confirmed < 9 {
-				t.Errorf("got %d cancellations confirmed before the outage, want at least 9", confirmed)
+				t.Errorf("got %d cancellations confirmed before 42 s, with all seeds, want at least 9", confirmed)
 			}
 		})
 	}
 }
 
 // TestStoreOutageKeepsTasks checks that an outage of the state service ends no task,
-// however long it is, while the leader reaches all other controllers or has recently
-// reached them. One of them may also crash and restart while its read lease still
-// runs. If the leader can't reach a controller from before the outage on, no
-// controller may go on acting, because that one might have confirmed cancellations.
+// however long it is, while all other controllers grant read leases to the leader. One
+// of them may crash and restart while its read lease still runs, or be out of the
+// leader's reach for less time than the last read lease and the allowed age of the
+// leader's view cover. If the leader can't reach a controller from before the outage on,
+// no controller may act for long, because that one might have confirmed cancellations.
 func TestStoreOutageKeepsTasks(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -207,7 +208,7 @@
 		sim.RunUntil(102 * second)
 		kept := len(sim.Checker.jobs[job.ID].runningOn) == job.Tasks
 		if kept != tc.kept {
-			t.Errorf("%s: got tasks still running: %v, want %v", tc.name, kept, tc.kept)
+			t.Errorf("%s: got all tasks still running: %v, want %v", tc.name, kept, tc.kept)
 		}
 		sim.Store.Recover()
 		sim.Heal(leader.Name, other.Name)
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -13,9 +13,13 @@
 // counts the controllers' calls to the state service and to workers.
 type grown struct {
 	*Simulation
-	machines                                                                             int
+	machines int
+
+	// Counters of changes written to the state service, requests to it, and direct
+	// commands to workers.
 	changesWritten, storeRequests, directCommands, maxCommandsInFlight, commandsInFlight int
-	roundsByInterval                                                                     map[time.Duration]int // scheduling rounds, keyed by the number of the report interval
+
+	roundsByInterval map[time.Duration]int // scheduling rounds, keyed by the number of the report interval
 }
 
 // newDefaultFleet starts a fleet of 450 machines with the default options.
@@ -39,7 +43,8 @@
 	return opt
 }
 
-// growTo starts a fleet with the given number of machines in each zone.
+// growTo starts a fleet with the given number of machines in each zone, and counts the
+// scheduling rounds and the controllers' calls.
 func growTo(opt Options, machinesPerZone int) *grown {
 	fleet := &grown{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
 	opt.Capacity = machinesPerZone
@@ -99,7 +104,7 @@
 		t.Errorf("got %d tasks running 8 s after the start, want at least 100", running)
 	}
 	// One write for each machine would be 450 changes, which take at least 9 s at the
-	// 50 changes a second that the state service accepts.
+	// limit of 50 changes a second.
 	if fleet.changesWritten > 120 {
 		t.Errorf("got %d changes written to the state service in the first 8 s, want at most 120", fleet.changesWritten)
 	}
@@ -171,8 +176,8 @@
 // TestLostMachinesDoNotDelayTakeover checks that lost machines don't delay the work
 // after an election. A machine that the cloud reclaimed after notice is returned by
 // name, which makes sure that it is gone. A machine that died with the leader is
-// presumed lost after a command that it doesn't answer. Each of the two once kept
-// all older jobs of a large fleet waiting.
+// presumed lost after a command that it doesn't answer. Each of the two once kept all
+// older jobs of a large fleet waiting.
 func TestLostMachinesDoNotDelayTakeover(t *testing.T) {
 	fleet := newLargestDeployment(3, 150)
 	fleet.submitLoad(100 * second)
@@ -187,7 +192,7 @@
 	fleet.At(20*second, func() { fleet.Cloud.Reclaim("n-000007", 10*second) })
 	fleet.RunUntil(40 * second)
 	if returnedAt == 0 || returnedAt > 33*second {
-		t.Errorf("got machine that was reclaimed at 30 s returned at %v, want by 33 s", returnedAt)
+		t.Errorf("machine reclaimed at 30 s: got it returned at %v (0s: not), want by 33 s", returnedAt)
 	}
 	fleet.Cloud.RemoveMachine("n-000008")
 	fleet.Leader().Crash()
@@ -202,10 +207,10 @@
 
 // TestCutZoneDoesNotDelayOtherMachines cuts off a zone as all controllers crash. The
 // next leader reaches the other zones and then loses the state service, and four
-// machines of the other zones die at that time. Its successor must find these four
-// lost within seconds, although the machines of the cut zone don't answer its
-// commands either. It must have all machines accounted for when the leases of the
-// cut zone have expired.
+// machines of the other zones die at that time. Its successor must return these four
+// within 6 s of its election, although the machines of the cut zone don't answer its
+// commands either. It must have all machines accounted for when the leases of the cut
+// zone have expired.
 func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
@@ -240,11 +245,11 @@
 	}
 	fleet.RunUntil(70 * second)
 	if len(electedAt) != 3 || len(settledAt) != 2 {
-		t.Fatalf("got leaders elected at %v and all machines accounted for at %v, want 3 and 2 times", electedAt, settledAt)
+		t.Fatalf("got leaders elected at %v and all machines accounted for at %v, want 3 elections and all machines accounted for twice", electedAt, settledAt)
 	}
 	for _, host := range removed {
 		if at := returnedAt[host]; at == 0 || at-electedAt[2] > 6*second {
-			t.Errorf("machine %s died at the election at %v: got it returned at %v, want within 6 s", host, electedAt[2], at)
+			t.Errorf("machine %s died at the election at %v: got it returned at %v (0s: not), want within 6 s of the election", host, electedAt[2], at)
 		}
 	}
 	if limit := electedAt[1] + opt.Config.Lease + second; settledAt[1] > limit {
@@ -267,8 +272,8 @@
 	return n
 }
 
-// TestAllocationsOfReports checks that the core makes few allocations for a report
-// without new information and its reply, whatever the size of the fleet.
+// TestAllocationsOfReports checks that the core makes few allocations to handle a report
+// without new information and to reply to it, whatever the size of the fleet.
 func TestAllocationsOfReports(t *testing.T) {
 	allocations := func(machinesPerZone int) float64 {
 		fleet := growTo(DefaultOptions(2), machinesPerZone)
@@ -284,7 +289,7 @@
 			effects := leader.State.Step(leader.monotonicNow(), core.WorkerReport{RequestID: 1, Report: reports[i]})
 			i++
 			if len(effects) == 0 {
-				t.Fatal("got no reply in the same step, want one")
+				t.Fatal("got no reply in the step that handles the report, want one")
 			}
 		})
 	}
@@ -295,8 +300,8 @@
 }
 
 // TestAllocationsOfRounds checks scheduling rounds and ticks that find nothing to do
-// while a job waits that fits on no machine. They go over all machines, but may make
-// at most one allocation for each.
+// while a job waits that fits on no machine. They go over all machines, but may make at
+// most one allocation for each machine.
 func TestAllocationsOfRounds(t *testing.T) {
 	allocations := func(machinesPerZone int) float64 {
 		fleet := growTo(DefaultOptions(2), machinesPerZone)
@@ -334,9 +339,9 @@
 // TestLargestDeployment runs 2,100 machines through a start, ordinary load, a crash of
 // the leader, a crash of all controllers, which restart at once and crash again
 // during the election, and a pause of a hundred machines for longer than their
-// lease. During all of it, some requests and reports arrive a second time, late. The
-// test bounds the load on the state service and the number of concurrent connections
-// to workers.
+// lease. Throughout, some requests and reports arrive a second time, late. The test
+// bounds the load on the state service and the number of concurrent direct commands, each
+// of which takes a connection.
 func TestLargestDeployment(t *testing.T) {
 	t.Parallel()
 	fleet := newLargestDeployment(1, 700)
@@ -369,7 +374,7 @@
 		fleet.maxCommandsInFlight = 0
 		fleet.RunUntil(until)
 		elapsedSeconds := (fleet.Now - from).Seconds()
-		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // counted over all three controllers, of which one leads at a time
+		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // the count is over all three controllers, of which one leads at a time
 			t.Errorf("%s: got %d direct commands at the same time, want at most 3/2 of the limit", stage, fleet.maxCommandsInFlight)
 		}
 		if n := fleet.directCommands - commands; n > 3*elections*fleet.machines {
@@ -418,12 +423,11 @@
 		t.Error(violation)
 	}
 	if accepted, done := fleet.Checker.CountBatchJobs(); accepted < 50 || done < accepted {
-		t.Errorf("got %d of %d accepted jobs done at the end, want all of at least 50", done, accepted)
+		t.Errorf("got %d of %d accepted jobs done at the end, want at least 50 jobs and all of them done", done, accepted)
 	}
 }
 
-// fleetWork holds measures of the controllers' work that may not grow with the
-// fleet.
+// fleetWork holds measures of the controllers' work that may not grow with the fleet.
 type fleetWork struct {
 	machines                  int
 	allocsPerReport           float64       // by the leader
@@ -476,9 +480,9 @@
 // TestWorkByFleetSize runs fleets of 500 to 4,000 machines with the same load. It
 // bounds what may not grow with the fleet: the leader's allocations for one report,
 // the scans of each machine and the commands to each machine in a takeover, and the
-// changes written under ordinary load. In a takeover with 4,000 machines no lease
-// expires, the load on the state service stays below its limits, and the tasks of
-// jobs that are cancelled meanwhile are gone in time.
+// changes written under ordinary load. At each size, no lease may expire in a takeover,
+// the load on the state service may reach half of its limits at most, and the tasks of
+// jobs that are cancelled as the leader crashes must be gone in time.
 func TestWorkByFleetSize(t *testing.T) {
 	limits := largest(1).Config
 	var smallest fleetWork
@@ -498,13 +502,13 @@
 			t.Errorf("%d machines: got %.0f changes in 30 s, want at most 1.5 times the %.0f of the smallest fleet", work.machines, work.steadyChanges, smallest.steadyChanges)
 		}
 		if work.takeoverDuration <= 0 || work.takeoverDuration > limits.Lease/2 || work.leasesLost > 0 {
-			t.Errorf("%d machines: got all accounted for %v after the election and %d expired leases, want at most half a lease and none", work.machines, work.takeoverDuration, work.leasesLost)
+			t.Errorf("%d machines: got all accounted for %v after the election and %d expired leases, want a positive time of at most half a lease, and none", work.machines, work.takeoverDuration, work.leasesLost)
 		}
 		if work.takeoverRequestsPerSecond > limits.StoreRPS/2 || work.takeoverChanges > 20*limits.StoreWriteRPS/2 {
 			t.Errorf("%d machines: got %.0f requests a second and %.0f changes in a takeover, want at most half of the limits", work.machines, work.takeoverRequestsPerSecond, work.takeoverChanges)
 		}
 		if work.leastCancelMargin < limits.CancelWithin-limits.Lease {
-			t.Errorf("%d machines: got cancelled tasks gone %v before the end of cancel_s, want at least cancel_s less the lease", work.machines, work.leastCancelMargin)
+			t.Errorf("%d machines: got the latest cancelled task gone %v before the end of cancel_s, want at least cancel_s less the lease", work.machines, work.leastCancelMargin)
 		}
 	}
 }
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/meetings_test.go
@@ -13,10 +13,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// combinedFaultScenarios are scenarios in which two or more faults meet; operators
-// have seen rules violated in such cases. In all of them users poll all controllers,
-// cancel some jobs as their last task ends, and send repeated and impossible
-// requests.
+// combinedFaultScenarios are scenarios in which two or more faults meet. Operators have
+// seen rules violated in such cases. In all of them users poll all controllers, cancel
+// some jobs as their last task ends, and send repeated and impossible requests.
 var combinedFaultScenarios = []struct {
 	name string
 	// cpuLimit is the limit of team "tight" in CPUs; 0 means 9.
@@ -160,7 +159,9 @@
 			sim.At(at, func() {
 				for k, endpoint := range sortedKeys(sim.Workers) {
 					switch {
-					case i%2 == 1: // these get a message from the new leader and then can't be reached for 8 s
+					case i%2 == 1:
+						// These get a message from the new leader first and then can't be
+						// reached for 8 s, by makeUnreachableOnceFenced below.
 					case k%3 == 0:
 						sim.cutOff(sim.Workers[endpoint], 14*second, "hold")
 					case k%3 == 1:
@@ -289,11 +290,11 @@
 	}
 }
 
-// makeUnreachableOnceFenced keeps commands from reaching each machine that has tasks
-// of cancelled jobs, for 8 s from the time at which it has the epoch of a new leader.
-// So the new leader knows of tasks that it can't stop yet.
+// makeUnreachableOnceFenced keeps commands from reaching each machine that has tasks of
+// cancelled jobs, for 8 s from the time at which it has the epoch of a new leader. So the
+// new leader knows of tasks that it can't stop yet.
 func (s *Simulation) makeUnreachableOnceFenced(until time.Duration) {
-	terms := map[*Worker]uint64{}
+	terms := map[*Worker]uint64{} // an epoch holds the term above its lowest 20 bits
 	for _, worker := range s.Workers {
 		terms[worker] = worker.epoch >> 20
 	}
@@ -339,9 +340,9 @@
 	}
 }
 
-// cancelRunningJobs has users cancel n running jobs within 200 ms. Jobs with longer
-// run times, in whole minutes, are cancelled first. If pauseFor is positive, the
-// machines that run the jobs are paused for that long.
+// cancelRunningJobs has users cancel n running jobs within 200 ms. It prefers jobs whose
+// tasks run longer, in whole minutes, and chooses at random among equal ones. If pauseFor
+// is positive, the machines that run the jobs are paused for that long.
 func (s *Simulation) cancelRunningJobs(n int, pauseFor time.Duration) {
 	ids := sortedKeys(s.Checker.jobs)
 	s.Rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
@@ -366,7 +367,7 @@
 }
 
 // submitLongJobs submits n jobs that run for 80 s, one every 5 s. A quarter of them
-// belongs to the team with the limit.
+// belong to team "tight", which has a limit.
 func submitLongJobs(sim *Simulation, n int) {
 	for i := range n {
 		job := batchJob(fmt.Sprintf("req-%06d", 600000+i), 2+i%2)
@@ -422,7 +423,7 @@
 	}
 }
 
-// submitFullTeamJobs submits enough jobs to keep a team at its limit.
+// submitFullTeamJobs submits enough jobs to keep team "tight" at its limit.
 func submitFullTeamJobs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+7*second {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 1+i%4)
@@ -481,9 +482,10 @@
 	"a team is at its limit, its cancelled jobs are on machines that can't be reached, and the leader changes": {6}, // new jobs arrive before all machines are accounted for
 }
 
-// TestCombinedFaults runs each combination of faults. It checks that no rule is
-// violated, that no job waits for long while there is capacity for it, that every
-// accepted job stays known, and that all batch jobs are done at the end.
+// TestCombinedFaults runs each combination of faults. It checks that no rule is violated,
+// that no job waits for long while there is capacity for it once the faults are over, that
+// every accepted job stays known, that no class or team starves, and that all batch jobs
+// are done at the end.
 func TestCombinedFaults(t *testing.T) {
 	for _, scenario := range combinedFaultScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -523,7 +525,7 @@
 				}
 				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted == 0 || done < accepted {
-					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want all of at least one", seed, done, accepted)
+					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want at least one job and all of them done", seed, done, accepted)
 				}
 				t.Logf("seed %d: %d starts, %d of them after the cancellation, %d of %d jobs done", seed, sim.Checker.TaskStarts, sim.Checker.StartsAfterCancellation, done, accepted)
 			}
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_test.go
@@ -16,10 +16,11 @@
 	randomScenarioCount = flag.Int("random-days", 9, "number of random scenarios that run besides the regression seeds")
 )
 
-// randomScenario is a simulation of a large fleet with faults drawn from its seed.
+// randomScenario is a simulation with the settings of the largest deployments and with
+// faults drawn from its seed.
 type randomScenario struct {
 	*grown
-	drawnFaults []string // descriptions for failure messages
+	drawnFaults []string // descriptions of what was drawn, for failure messages
 }
 
 // durationBetween draws a duration between two numbers of seconds.
@@ -32,8 +33,8 @@
 	scenario.drawnFaults = append(scenario.drawnFaults, fmt.Sprintf(format, args...))
 }
 
-// applyToSomeMachines calls f at the given time for a random third of the machines,
-// and undo for each of them after the given length.
+// applyToSomeMachines calls f at the given time for a random third of the machines, and
+// undo for each of them after the given length.
 func (scenario *randomScenario) applyToSomeMachines(from, length time.Duration, f, undo func(worker *Worker)) {
 	scenario.At(from, func() {
 		for _, endpoint := range sortedKeys(scenario.Workers) {
@@ -92,7 +93,7 @@
 		scenario.At(from, func() { scenario.makeStoreUnavailableToLeader(length) })
 	}},
 	{"the state service is out", func(scenario *randomScenario, from, length time.Duration) { scenario.outage(from, from+length) }},
-	{"the leader can reach only workers and users", func(scenario *randomScenario, from, length time.Duration) {
+	{"the leader is cut off from the state service and the other controllers", func(scenario *randomScenario, from, length time.Duration) {
 		scenario.At(from, func() {
 			if leader := scenario.Leader(); leader != nil {
 				alone(scenario.Simulation, leader, length)
@@ -173,12 +174,13 @@
 var randomRegressionSeeds = map[uint64]string{
 	2031: "ran_cancelled: replies without the stop order renewed leases",
 	2613: "ran_cancelled: replies without the stop order renewed leases, with slow controllers and late writes",
-	2638: "ran_twice: a re-elected leader relied on a last-contact time that it had never written",
+	2638: "ran_twice: a re-elected leader relied on an unresponsive mark that it had never written",
 }
 
-// TestRandomFaults injects random faults while jobs are cancelled, with the settings
-// of the largest deployments. It logs the least time that was left of cancel_s when a
-// task of a cancelled job was gone.
+// TestRandomFaults injects random faults while jobs are cancelled, with the settings of
+// the largest deployments. It logs the least time that was left of cancel_s when a task of
+// a cancelled job was gone, which shows how close the scenario came to violating
+// ran_cancelled.
 func TestRandomFaults(t *testing.T) {
 	seeds := sortedSeeds(randomRegressionSeeds)
 	for i := range *randomScenarioCount {
@@ -194,16 +196,16 @@
 				t.Errorf("%s (%s)", violation, strings.Join(scenario.drawnFaults, "; "))
 			}
 			if randomRegressionSeeds[seed] != "" && scenario.Checker.CancelledTasksStopped == 0 {
-				t.Error("got no task of a cancelled job that stopped after the confirmation, want at least one")
+				t.Error("got no task that stopped after the cancellation of its job was confirmed, want at least one")
 			}
-			t.Logf("least margin %v, %d tasks of cancelled jobs stopped", scenario.Checker.LeastMargin, scenario.Checker.CancelledTasksStopped)
+			t.Logf("least margin before the end of cancel_s %v, %d tasks of cancelled jobs stopped", scenario.Checker.LeastMargin, scenario.Checker.CancelledTasksStopped)
 		})
 	}
 }
 
-func sortedSeeds(scenarios map[uint64]string) []uint64 {
+func sortedSeeds(causes map[uint64]string) []uint64 {
 	var seeds []uint64
-	for seed := range scenarios {
+	for seed := range causes {
 		seeds = append(seeds, seed)
 	}
 	slices.Sort(seeds)
--- a/internal/sim/roll_test.go
+++ b/internal/sim/roll_test.go
@@ -117,57 +117,57 @@
 }
 
 // observe checks an effect of a controller and returns it unchanged.
-func (r *upgradeWatcher) observe(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
+func (watcher *upgradeWatcher) observe(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
 	switch e := effect.(type) {
 	case core.StoreCall:
-		r.checkWrite(sim, controller, e)
-	case core.Reply:
-		if status, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(status.ID, "req-3") && r.firstGangAcceptedAt == 0 {
-			r.firstGangAcceptedAt = sim.Now
+		watcher.checkWrite(sim, controller, e)
+	case core.Reply: // the ids of the gangs of submitGangs begin with req-3
+		if status, ok := e.Body.(core.JobStatus); ok && e.Status == 201 && strings.HasPrefix(status.ID, "req-3") && watcher.firstGangAcceptedAt == 0 {
+			watcher.firstGangAcceptedAt = sim.Now
 		}
 	}
 	return effect
 }
 
-// checkWrite checks a transaction of a controller of the present version. It must keep
-// to the lowered limits. Until the cluster version is raised, it may write only keys
-// and fields that the version in production knows.
-func (r *upgradeWatcher) checkWrite(sim *Simulation, controller *Controller, call core.StoreCall) {
+// checkWrite checks a transaction of a controller of the present version. It must keep to
+// the lowered limits. Until the cluster version is raised, it may write only keys and
+// fields that the version in production knows.
+func (watcher *upgradeWatcher) checkWrite(sim *Simulation, controller *Controller, call core.StoreCall) {
 	if sim.OnPreviousVersion[controller.Name] {
 		return
 	}
 	if len(call.Changes) > loweredTxnOps {
-		r.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit", controller.Name, len(call.Changes))
+		watcher.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit", controller.Name, len(call.Changes))
 	}
 	for _, change := range call.Changes {
 		if len(change.Value) > loweredValueBytes {
-			r.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit", controller.Name, len(change.Value), change.Key)
+			watcher.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit", controller.Name, len(change.Value), change.Key)
 		}
 		// mf/forms and mf/v/ are keys that the version in production doesn't know and
 		// ignores. The first write of mf/forms raises the cluster version.
 		if change.Key == "mf/forms" {
-			if r.versionRaisedAt == 0 {
-				r.versionRaisedAt = sim.Now
+			if watcher.versionRaisedAt == 0 {
+				watcher.versionRaisedAt = sim.Now
 			}
 			continue
 		}
-		if change.Remove || r.versionRaisedAt != 0 || strings.HasPrefix(change.Key, "mf/v/") {
+		if change.Remove || watcher.versionRaisedAt != 0 || strings.HasPrefix(change.Key, "mf/v/") {
 			continue
 		}
 		dir, fields := storedFields(change.Key, change.Value)
-		if r.knownFields[dir] == nil {
-			r.t.Errorf("%s: got a write of %s, want only keys that the version in production reads", controller.Name, change.Key)
+		if watcher.knownFields[dir] == nil {
+			watcher.t.Errorf("%s: got a write of %s, want only keys that the version in production reads", controller.Name, change.Key)
 		}
 		for _, field := range fields {
-			if !r.knownFields[dir][field] {
-				r.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, field, change.Key)
+			if !watcher.knownFields[dir][field] {
+				watcher.t.Errorf("%s: got field %s written to %s, want only fields of the version in production until all controllers are upgraded", controller.Name, field, change.Key)
 			}
 		}
 	}
 }
 
-// upgradeFaults are the faults that are injected into a rolling upgrade. upgradeTimes
-// are the times at which the controllers are upgraded.
+// upgradeFaults are the faults that are injected into a rolling upgrade. inject gets the
+// times at which the controllers are upgraded.
 var upgradeFaults = []struct {
 	name            string
 	limitsLoweredAt time.Duration // when the state service lowers its limits; 0: at 100 s, after the upgrade
@@ -221,7 +221,7 @@
 	var mu sync.Mutex
 	t.Cleanup(func() {
 		if !t.Failed() && len(mixes) < 6 {
-			t.Errorf("got mixes of versions %v, want all six: a previous or present leader beside none, one or two previous ones", mixes)
+			t.Errorf("got mixes of versions %v, want all six: a leader of the previous or the present version, with none, one or two other controllers of the previous version", mixes)
 		}
 	})
 	for seed := uint64(0); seed < uint64(max(len(upgradeFaults), 2**seedCount)); seed++ {
@@ -285,10 +285,10 @@
 			}
 			lastUpgradeAt := upgradeTimes[len(upgradeTimes)-1]
 			if watcher.versionRaisedAt <= lastUpgradeAt || watcher.versionRaisedAt > lastUpgradeAt+30*second {
-				t.Errorf("last controller upgraded at %v: got cluster version raised at %v, want within 30 s after that", lastUpgradeAt, watcher.versionRaisedAt)
+				t.Errorf("last controller upgraded at %v: got cluster version raised at %v (0s: not), want within 30 s after that", lastUpgradeAt, watcher.versionRaisedAt)
 			}
 			if watcher.firstGangAcceptedAt <= watcher.versionRaisedAt {
-				t.Errorf("got first gang accepted at %v, want it after the cluster version is raised at %v", watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
+				t.Errorf("got first gang accepted at %v (0s: none), want it after the cluster version is raised at %v", watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 			}
 			if fault.limitsLoweredAt == 0 && sim.Store.RefusedTooLarge+sim.Store.RefusedRateLimited > 0 {
 				t.Errorf("got %d transactions beyond the lowered limits and %d beyond the lowered rate, want 0", sim.Store.RefusedTooLarge, sim.Store.RefusedRateLimited)
@@ -300,7 +300,7 @@
 				}
 			}
 			if accepted, done := sim.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
-				t.Errorf("got %d of %d accepted jobs and %d gangs done at the end, want all of at least 10 jobs and at least 5 gangs", done, accepted, gangs)
+				t.Errorf("got %d of %d accepted jobs and %d gangs done at the end, want at least 10 jobs, all of them done, and at least 5 gangs", done, accepted, gangs)
 			}
 		})
 	}
@@ -315,8 +315,8 @@
 	})
 }
 
-// watchVersionMixes reports every 100 ms the version of the leader and how many other
-// controllers run the previous version.
+// watchVersionMixes calls seen every 100 ms with a text that says whether the leader runs
+// the previous version and how many other controllers do.
 func watchVersionMixes(sim *Simulation, seen func(mix string)) {
 	var sample func()
 	sample = func() {
@@ -334,18 +334,18 @@
 	sample()
 }
 
-// TestRollingUpgradeWithUnreachableController checks that a controller that was
-// upgraded and then can't be reached for minutes doesn't keep gangs waiting. A
-// controller that was downgraded again must keep them waiting, although it had stored
-// the present version before, if a leader of the present version could reach it
-// after the downgrade.
+// TestRollingUpgradeWithUnreachableController checks that a controller that was upgraded
+// and then can't be reached for minutes doesn't keep gangs waiting. A controller that was
+// downgraded again must keep them waiting, although it had stored the present version
+// before, if a leader of the present version could reach it after the downgrade.
 func TestRollingUpgradeWithUnreachableController(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// inject keeps the first controller, which is upgraded at 40 s, from the others
-		// from some time on until 200 s. The last controller is upgraded at 80 s.
+		// inject makes the first controller, which is upgraded at 40 s, unreachable for
+		// the others from some time on until 200 s. It also upgrades the second one. The
+		// last controller is upgraded at 80 s.
 		inject       func(sim *Simulation, controller *Controller)
-		acceptsGangs bool // whether gangs are accepted before the controller can be reached again
+		acceptsGangs bool // whether gangs are accepted while the controller can't be reached
 	}{
 		{"upgraded, then cut off from the other controllers", func(sim *Simulation, controller *Controller) {
 			sim.At(46*second, func() { cutFromPeers(sim, controller, 154*second) })
@@ -377,7 +377,7 @@
 				sim.upgradeController(sim.Controllers[2], 80*second)
 				sim.RunUntil(200 * second)
 				if accepted := watcher.firstGangAcceptedAt != 0 && watcher.firstGangAcceptedAt < 110*second; accepted != tc.acceptsGangs {
-					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0: not), want as the row says", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
+					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0s: not), want a gang accepted before 110 s if and only if the row sets acceptsGangs", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 				}
 				sim.RunUntil(250 * second)
 				for _, violation := range sim.Checker.Violations {
--- a/internal/sim/service_test.go
+++ b/internal/sim/service_test.go
@@ -14,8 +14,9 @@
 
 const second = time.Second
 
-// load submits a mix of services, batch jobs and long low-priority jobs until the
-// given time. A quarter of them is cancelled.
+// load submits a mix of services, batch jobs and long low-priority jobs until the given
+// time. About a quarter of them are cancelled. It also polls jobs that were never
+// submitted.
 func load(sim *Simulation, until time.Duration) {
 	rnd := rand.New(rand.NewPCG(sim.Options.Seed, 99))
 	jobCount := 0
@@ -276,7 +277,7 @@
 		}
 		sim.At(200*second, func() { sim.LateReportCopyFraction, sim.RepeatFraction = 0, 0 })
 	}},
-	{"a controller can reach only workers and users", func(sim *Simulation) {
+	{"a controller is cut off from the state service and the other controllers", func(sim *Simulation) {
 		for i, at := range []time.Duration{40, 75, 110} {
 			sim.At(at*second, func() {
 				controller := sim.Controllers[i%len(sim.Controllers)]
@@ -352,13 +353,13 @@
 		sim.LateReportCopyFraction = 0.2
 		for at := 30 * second; at < 150*second; at += 11 * second {
 			sim.At(at, func() {
-				a, b := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
+				controller, other := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
 				switch sim.Rand.IntN(8) {
 				case 0:
-					a.CrashFor(time.Duration(50+sim.Rand.IntN(3000)) * time.Millisecond)
-					sim.After(700*time.Millisecond, func() { b.CrashFor(150 * time.Millisecond) })
+					controller.CrashFor(time.Duration(50+sim.Rand.IntN(3000)) * time.Millisecond)
+					sim.After(700*time.Millisecond, func() { other.CrashFor(150 * time.Millisecond) })
 				case 1:
-					alone(sim, a, 14*second)
+					alone(sim, controller, 14*second)
 				case 2:
 					makeMachineUnreachable(sim, 25*second)
 				case 3:
@@ -371,8 +372,8 @@
 					sim.Store.Unavailable = true
 					sim.After(12*second, sim.Store.Recover)
 				case 6:
-					sim.Cut(a.Name, b.Name, "hold")
-					sim.After(20*second, func() { sim.Heal(a.Name, b.Name) })
+					sim.Cut(controller.Name, other.Name, "hold")
+					sim.After(20*second, func() { sim.Heal(controller.Name, other.Name) })
 				case 7:
 					if keys := sortedKeys(sim.Workers); len(keys) > 0 {
 						sim.Workers[keys[sim.Rand.IntN(len(keys))]].Pause(time.Duration(4+sim.Rand.IntN(14)) * second)
@@ -385,23 +386,23 @@
 	{"mixed crashes, cut links, outages and pauses", func(sim *Simulation) {
 		for at := 30 * second; at < 150*second; at += 13 * second {
 			sim.At(at, func() {
-				a, b := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
+				controller, other := sim.Controllers[sim.Rand.IntN(3)], sim.Controllers[sim.Rand.IntN(3)]
 				switch sim.Rand.IntN(6) {
 				case 0:
-					a.Crash()
+					controller.Crash()
 				case 1:
-					sim.Cut(a.Name, "state", "hold")
-					sim.After(15*second, func() { sim.Heal(a.Name, "state") })
+					sim.Cut(controller.Name, "state", "hold")
+					sim.After(15*second, func() { sim.Heal(controller.Name, "state") })
 				case 2:
-					sim.Cut(a.Name, b.Name, "hold")
-					sim.After(20*second, func() { sim.Heal(a.Name, b.Name) })
+					sim.Cut(controller.Name, other.Name, "hold")
+					sim.After(20*second, func() { sim.Heal(controller.Name, other.Name) })
 				case 3:
 					sim.Store.Unavailable = true
 					sim.After(12*second, sim.Store.Recover)
 				case 4:
 					for _, endpoint := range sortedKeys(sim.Workers) {
-						sim.Cut(a.Name, endpoint, "hold")
-						sim.After(18*second, func() { sim.Heal(a.Name, endpoint) })
+						sim.Cut(controller.Name, endpoint, "hold")
+						sim.After(18*second, func() { sim.Heal(controller.Name, endpoint) })
 					}
 				case 5:
 					for i, endpoint := range sortedKeys(sim.Workers) {
@@ -415,8 +416,9 @@
 	}},
 }
 
-// makeMachineUnreachable keeps commands from reaching one random machine for the
-// given duration, and with probability 1/2 also the replies to its reports.
+// makeMachineUnreachable keeps commands and replies to reports from reaching one random
+// machine for the given duration. With probability 1/2 the machine notices lost replies at
+// once, as from closed connections; otherwise it waits for the timeout of each report.
 func makeMachineUnreachable(sim *Simulation, duration time.Duration) {
 	keys := sortedKeys(sim.Workers)
 	if len(keys) == 0 {
@@ -447,8 +449,9 @@
 	})
 }
 
-// cutZone cuts a zone's machines and its controller off from everything outside the
-// zone. Inside the zone the network works.
+// cutZone cuts a zone's machines and its controller off from everything outside the zone
+// for the given duration. Inside the zone the network works. mode is "drop" or "hold", as
+// for Cut.
 func cutZone(sim *Simulation, zone string, duration time.Duration, mode string) {
 	inside := map[string]bool{}
 	outside := map[string]bool{"state": true, "cloud": true, "users": true}
@@ -483,7 +486,7 @@
 // regressionSeeds are seeds with which a scenario once violated a rule.
 var regressionSeeds = map[string][]uint64{
 	"replies to reports are lost repeatedly, then the machine is cut off":                  {29, 60}, // the lease of a new session was counted from the old session
-	"mixed short restarts, isolated controllers, unreachable machines, outages and pauses": {46, 63}, // tasks were given to an unresponsive machine; a delayed reply
+	"mixed short restarts, isolated controllers, unreachable machines, outages and pauses": {46, 63}, // a machine with an unresponsive mark was given tasks; a reply was held by the network
 	"requests are carried out a second time":                                               {7, 24},  // a repeated command started a task that the worker had forgotten
 }
 
@@ -491,9 +494,9 @@
 // are meant for searches by hand.
 var seedCount = flag.Int("seeds", 4, "number of seeds that each scenario runs with")
 
-// TestFaultScenarios runs the mixed load through each fault scenario. It checks that
-// no rule is violated, that every accepted job stays known, and that all batch jobs
-// are done at the end.
+// TestFaultScenarios runs the mixed load through each fault scenario. It checks that no
+// rule is violated, that every accepted job stays known, that no class or team starves,
+// and that all batch jobs are done at the end.
 func TestFaultScenarios(t *testing.T) {
 	for _, scenario := range faultScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -518,7 +521,7 @@
 				}
 				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted < 10 || done < accepted {
-					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want all of at least 10", seed, done, accepted)
+					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want at least 10 jobs and all of them done", seed, done, accepted)
 				}
 				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, sim.Checker.TaskStarts, done, accepted)
 			}
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -122,9 +122,10 @@
 	}
 }
 
-// TestLowPriorityJobDoesNotStarve submits more urgent work than the machines can do,
-// all the time, adds a burst of service replicas, and removes a machine. The largest
-// job of the lowest priority must start in time all the same.
+// TestLowPriorityJobDoesNotStarve submits more urgent work than the machines can do, all
+// the time, adds a burst of service replicas, and removes a machine. The job of the lowest
+// priority, which is the largest of its class, must start within maxStartDelay all the
+// same.
 func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	opt := DefaultOptions(6)
 	opt.Capacity = 1 // three machines of 4 CPUs, and three spot machines that these jobs may not use
@@ -152,18 +153,19 @@
 	}
 }
 
-// TestUnresponsiveMachineLeaseIsNotRenewed pauses a machine for 6 s, so that the
-// leader writes its last-contact time to the registry. The machine continues while the
-// state service is out, so that the leader can't remove that time. Then the leader
-// crashes. Its successor counts the machine's lease from the time in the registry, so
-// no controller may have renewed the lease in the meantime.
+// TestUnresponsiveMachineLeaseIsNotRenewed pauses a machine for 6 s, so that the leader
+// marks it in the registry as unresponsive, with its last-contact time. The machine
+// continues while the state service is out, so that the leader can't remove the mark.
+// Then the leader crashes. Its successor counts the machine's lease from the time in the
+// mark. No controller may have renewed the lease in the meantime, because the successor
+// would then start the machine's tasks elsewhere while they still run.
 func TestUnresponsiveMachineLeaseIsNotRenewed(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		sim := New(DefaultOptions(seed))
 		longJob := batchJob("req-000001", 12) // three machines
 		sim.At(second, func() { sim.Users.Submit(longJob, 90*second) })
-		// This job ends at about 40 s and leaves free capacity, on machines that are not
-		// returned yet, at the time of the faults.
+		// At the time of the faults this job has ended and has left free capacity on
+		// machines that are not returned yet.
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000002", 8), 25*second) })
 		sim.At(40*second, func() { sim.runningMachine("req-000001/0").Pause(6 * second) })
 		sim.At(45500*time.Millisecond, func() { sim.Store.Unavailable = true })
@@ -222,8 +224,8 @@
 		team core.Team // the team of the gang
 		load func(sim *Simulation)
 		gang model.Job
-		// starts says whether the gang runs within 15 s. remaining is the least number of
-		// tasks of each other job that run meanwhile.
+		// starts says whether the gang starts within 15 s. remaining holds, for each other
+		// job, the smallest number of its tasks that run at any moment until then.
 		starts    bool
 		remaining map[string]int
 	}{
@@ -299,7 +301,7 @@
 			sim.RunUntil(arrival + 15*second)
 			for id, want := range tc.remaining {
 				if fewestRunning[id] != want {
-					t.Errorf("got a minimum of %d running tasks of %s, want %d", fewestRunning[id], id, want)
+					t.Errorf("got at least %d tasks of %s running at all times, want %d", fewestRunning[id], id, want)
 				}
 			}
 			if started := sim.Checker.jobs[tc.gang.ID].firstStartedAt != 0; started != tc.starts {
