--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -8,7 +8,7 @@
 // cancelScenario is a run in which a job is cancelled while the orders to stop its tasks
 // don't reach the machine.
 type cancelScenario struct {
-	*grown
+	*largeFleet
 	machine *Worker // the machine that runs the job's task
 	job     string
 }
@@ -57,7 +57,7 @@
 	config := scenario.Options.Config
 	scenario.LateCommandFraction = 1
 	scenario.crashLeader(10 * second)
-	scenario.outage(scenario.Now+500*time.Millisecond, scenario.Now+config.CancelWithin-config.Lease)
+	scenario.storeOutage(scenario.Now+500*time.Millisecond, scenario.Now+config.CancelWithin-config.Lease)
 	scenario.afterReportAnswer(scenario.Now+config.CancelWithin-config.Lease, func() { scenario.machine.Pause(config.Lease + 10*second) })
 }
 
@@ -69,8 +69,8 @@
 	for _, test := range cancelScenarios {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			options := largest(1)
-			scenario := &cancelScenario{grown: growTo(options, test.machinesPerZone), job: "req-000001"}
+			options := largestDeploymentOptions(1)
+			scenario := &cancelScenario{largeFleet: newLargeFleet(options, test.machinesPerZone), job: "req-000001"}
 			scenario.Users.StopsPollingAtEnd = true
 			scenario.At(20*second, func() { scenario.Users.Submit(serviceJob(scenario.job, 1), 0) })
 			scenario.RunUntil(cancelAt)
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -163,7 +163,7 @@
 			if test.setup != nil {
 				test.setup(sim)
 			}
-			load(sim, 90*second)
+			submitMixedLoad(sim, 90*second)
 			sim.RunUntil(160 * second)
 			for _, violation := range sim.Checker.Violations {
 				if strings.Contains(violation, test.rule+":") {
--- a/internal/sim/meetings_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -28,7 +28,7 @@
 		sim.At(30*second, func() { sim.Store.MaxExtraLatency = 900 * time.Millisecond })
 		sim.At(45*second, func() { sim.makeStoreUnavailableToLeader(30 * second) })
 		sim.At(45500*time.Millisecond, func() { sim.cancelRunningJobs(6, 8*second) })
-		sim.outage(47*second, 84*second)
+		sim.storeOutage(47*second, 84*second)
 		sim.At(60*second, func() { sim.cancelRunningJobs(6, 0) })
 		sim.At(120*second, func() { sim.Store.MaxExtraLatency = 0 })
 	}},
@@ -47,7 +47,7 @@
 		for i := range 10 {
 			sim.At(time.Duration(30+12*i)*second, func() { sim.crashLeader(time.Duration(200+sim.Rand.IntN(4000)) * time.Millisecond) })
 		}
-		sim.outage(64*second, 81*second)
+		sim.storeOutage(64*second, 81*second)
 		for i := range 3 {
 			sim.At(time.Duration(65+4*i)*second, func() { sim.Controllers[i].CrashFor(500 * time.Millisecond) })
 		}
@@ -58,7 +58,7 @@
 				worker := sim.Workers[endpoint]
 				switch i % 4 {
 				case 0:
-					sim.cutOff(worker, 24*second, "hold")
+					sim.cutMachine(worker, 24*second, "hold")
 				case 1:
 					worker.ReportAnswersLost = true
 					sim.After(22*second, func() { worker.ReportAnswersLost = false })
@@ -107,7 +107,7 @@
 	{name: "four one-task jobs are submitted each second, and a quarter of them are cancelled", load: func(sim *Simulation) { submitSmallJobs(sim, 130*second) }, editOptions: func(opt *Options) { opt.Capacity = 12 }, inject: func(sim *Simulation) {
 		sim.At(50*second, func() { sim.crashLeader(2 * second) })
 		sim.At(80*second, func() { sim.makeStoreUnavailableToLeader(10 * second) })
-		sim.outage(110*second, 118*second)
+		sim.storeOutage(110*second, 118*second)
 	}},
 	{name: "replies of the state service are lost, and their transactions are applied at once or late", inject: func(sim *Simulation) {
 		sim.At(20*second, func() { sim.Store.UnansweredFraction, sim.Store.ApplyUnansweredAtOnce = 0.3, true })
@@ -163,7 +163,7 @@
 						// These get a message from the new leader first and then can't be
 						// reached for 8 s, by makeUnreachableOnceFenced below.
 					case k%3 == 0:
-						sim.cutOff(sim.Workers[endpoint], 14*second, "hold")
+						sim.cutMachine(sim.Workers[endpoint], 14*second, "hold")
 					case k%3 == 1:
 						sim.Workers[endpoint].Pause(7 * second)
 					}
@@ -196,7 +196,7 @@
 			at := time.Duration(45+40*i) * second
 			sim.At(at, func() {
 				if leader := sim.Leader(); leader != nil {
-					alone(sim, leader, 26*second)
+					cutFromStoreAndPeers(sim, leader, 26*second)
 				}
 			})
 			sim.At(at+time.Second, func() { sim.cancelRunningJobs(3, 0) })
@@ -325,15 +325,15 @@
 	}
 }
 
-// outage makes the state service unavailable to all controllers between two times.
-func (s *Simulation) outage(from, to time.Duration) {
+// storeOutage makes the state service unavailable to all controllers between two times.
+func (s *Simulation) storeOutage(from, to time.Duration) {
 	s.At(from, func() { s.Store.Unavailable = true })
 	s.At(to, s.Store.Recover)
 }
 
-// cutOff cuts a machine off from all controllers for the given duration. mode is
+// cutMachine cuts a machine off from all controllers for the given duration. mode is
 // "drop" or "hold", as for Cut.
-func (s *Simulation) cutOff(worker *Worker, duration time.Duration, mode string) {
+func (s *Simulation) cutMachine(worker *Worker, duration time.Duration, mode string) {
 	for _, controller := range s.Controllers {
 		s.Cut(controller.Name, worker.info.Endpoint, mode)
 		s.After(duration, func() { s.Heal(controller.Name, worker.info.Endpoint) })
@@ -509,7 +509,7 @@
 				if scenario.load != nil {
 					scenario.load(sim)
 				} else {
-					load(sim, 130*second)
+					submitMixedLoad(sim, 130*second)
 					submitLongJobs(sim, 20)
 				}
 				sendRepeatedAndImpossibleRequests(sim, 150*second)
--- a/internal/sim/service_test.go
+++ b/internal/sim/fault_scenarios_test.go
@@ -14,10 +14,10 @@
 
 const second = time.Second
 
-// load submits a mix of services, batch jobs and long low-priority jobs until the given
+// submitMixedLoad submits a mix of services, batch jobs and long low-priority jobs until the given
 // time. About a quarter of them are cancelled. It also polls jobs that were never
 // submitted.
-func load(sim *Simulation, until time.Duration) {
+func submitMixedLoad(sim *Simulation, until time.Duration) {
 	rnd := rand.New(rand.NewPCG(sim.Options.Seed, 99))
 	jobCount := 0
 	submit := func(at time.Duration, job model.Job, runTime time.Duration) string {
@@ -284,7 +284,7 @@
 				if leader := sim.Leader(); i != 1 && leader != nil {
 					controller = leader
 				}
-				alone(sim, controller, 20*second)
+				cutFromStoreAndPeers(sim, controller, 20*second)
 			})
 		}
 	}},
@@ -359,7 +359,7 @@
 					controller.CrashFor(time.Duration(50+sim.Rand.IntN(3000)) * time.Millisecond)
 					sim.After(700*time.Millisecond, func() { other.CrashFor(150 * time.Millisecond) })
 				case 1:
-					alone(sim, controller, 14*second)
+					cutFromStoreAndPeers(sim, controller, 14*second)
 				case 2:
 					makeMachineUnreachable(sim, 25*second)
 				case 3:
@@ -430,9 +430,9 @@
 	sim.After(duration, func() { worker.CannotReceive, worker.ReportAnswersLost = false, false })
 }
 
-// alone cuts a controller off from the state service and the other controllers for
+// cutFromStoreAndPeers cuts a controller off from the state service and the other controllers for
 // the given duration, but not from workers, users and the cloud.
-func alone(sim *Simulation, controller *Controller, duration time.Duration) {
+func cutFromStoreAndPeers(sim *Simulation, controller *Controller, duration time.Duration) {
 	hosts := []string{"state"}
 	for _, other := range sim.Controllers {
 		if other != controller {
@@ -509,7 +509,7 @@
 				opt := DefaultOptions(seed)
 				opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
 				sim := New(opt)
-				load(sim, 150*second)
+				submitMixedLoad(sim, 150*second)
 				watchLeaders(sim)
 				scenario.inject(sim)
 				sim.RunUntil(250 * second)
--- a/internal/sim/gang_faults_test.go
+++ b/internal/sim/gang_faults_test.go
@@ -133,7 +133,7 @@
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
 				sim.After(18*second, func() {
 					for _, worker := range sim.otherGangMachines() {
-						sim.cutOff(worker, 9*second, "hold")
+						sim.cutMachine(worker, 9*second, "hold")
 					}
 				})
 			})
@@ -163,7 +163,7 @@
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
 				sim.After(2*second, func() {
 					sim.reclaimFirstGangMachine()
-					sim.cutOff(sim.otherGangMachines()[0], 14*second, "hold")
+					sim.cutMachine(sim.otherGangMachines()[0], 14*second, "hold")
 				})
 			})
 		}, doneBy: 100 * second, maxAttempts: 2},
@@ -216,7 +216,7 @@
 		{name: "a new leader can reach only some of the tasks", inject: func(sim *Simulation) {
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
 				sim.After(3*second, func() {
-					sim.cutOff(sim.otherGangMachines()[0], 6*second, "hold")
+					sim.cutMachine(sim.otherGangMachines()[0], 6*second, "hold")
 					sim.crashLeader(time.Second)
 				})
 			})
@@ -243,7 +243,7 @@
 		}, editJob: func(job *model.Job) { job.Team = "tight" }, inject: func(sim *Simulation) {
 			sim.Cloud.Rent("small", "b", false, 4)
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
-				sim.After(6*second, func() { sim.cutOff(sim.otherGangMachines()[0], 25*second, "hold") })
+				sim.After(6*second, func() { sim.cutMachine(sim.otherGangMachines()[0], 25*second, "hold") })
 			})
 		}, doneBy: 100 * second, maxAttempts: 2},
 		{name: "a zone is cut off with half of the gang", inject: cutGangZone, doneBy: 100 * second, maxAttempts: 2},
@@ -258,7 +258,7 @@
 				sim := New(opt)
 				sim.TraceEnabled = true
 				watchLeaders(sim)
-				gang := gangOf(gangID, 5)
+				gang := gangJob(gangID, 5)
 				if tc.editJob != nil {
 					tc.editJob(&gang)
 				}
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -10,9 +10,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// gangOf returns a gang whose tasks take 2 CPUs each, write a checkpoint every 5 s
+// gangJob returns a gang whose tasks take 2 CPUs each, write a checkpoint every 5 s
 // and need 2 s to save.
-func gangOf(id string, tasks int) model.Job {
+func gangJob(id string, tasks int) model.Job {
 	job := batchJob(id, tasks)
 	job.Kind, job.CPUs, job.Class, job.CheckpointEveryS, job.CheckpointCostS, job.EstimateS = model.KindGang, 2, "gang", 5, 2, 15
 	return job
@@ -24,7 +24,7 @@
 // team.
 func submitGangs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+5*second {
-		job := gangOf(fmt.Sprintf("req-%06d", 300000+i), 1+(i*5)%6)
+		job := gangJob(fmt.Sprintf("req-%06d", 300000+i), 1+(i*5)%6)
 		job.OneZone, job.Spot = i%2 == 0, i%3 == 0
 		if i%4 == 3 {
 			job.Team, job.Tasks = "tight", 1+i%3
@@ -87,7 +87,7 @@
 				opt.Config.Teams["own"] = core.Team{Guaranteed: sched.Resources{CPUs: 12}}
 				sim := New(opt)
 				submitGangs(sim, 130*second)
-				load(sim, 120*second)
+				submitMixedLoad(sim, 120*second)
 				watchLeaders(sim)
 				sc.inject(sim)
 				sim.At(200*second, sim.Checker.CheckWaiting)
@@ -131,7 +131,7 @@
 		job.Class = "array"
 		sim.At(time.Duration(1000+2000*i)*time.Millisecond, func() { sim.Users.Submit(job, time.Duration(6+i%7)*second) })
 	}
-	gang := gangOf("req-300000", 5)
+	gang := gangJob("req-300000", 5)
 	gang.OneZone = true
 	sim.At(60*second, func() { sim.Users.Submit(gang, 10*second) })
 	sim.RunUntil(60 * second)
@@ -167,7 +167,7 @@
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	sim := New(opt)
 	for i := range 10 {
-		gang := gangOf(fmt.Sprintf("req-%06d", i), 3)
+		gang := gangJob(fmt.Sprintf("req-%06d", i), 3)
 		sim.At(time.Duration(2+15*i)*second, func() { sim.Users.Submit(gang, 20*second) })
 	}
 	sim.RunUntil(250 * second)
@@ -196,7 +196,7 @@
 	opt := DefaultOptions(3)
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
 	sim := New(opt)
-	gang := gangOf("req-300000", 40) // needs twenty machines; the cloud has twelve
+	gang := gangJob("req-300000", 40) // needs twenty machines; the cloud has twelve
 	sim.At(5*second, func() { sim.Users.Submit(gang, 10*second) })
 	for i := range 20 {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 8)
--- a/internal/sim/grown_test.go
+++ b/internal/sim/large_fleet_test.go
@@ -9,9 +9,9 @@
 	"mulleinfall/internal/model"
 )
 
-// grown is a simulation of a large fleet whose machines are up almost at once. It
+// largeFleet is a simulation of a large fleet whose machines are up almost at once. It
 // counts the controllers' calls to the state service and to workers.
-type grown struct {
+type largeFleet struct {
 	*Simulation
 	machines int
 
@@ -23,17 +23,17 @@
 }
 
 // newDefaultFleet starts a fleet of 450 machines with the default options.
-func newDefaultFleet(seed uint64) *grown { return growTo(DefaultOptions(seed), 150) }
+func newDefaultFleet(seed uint64) *largeFleet { return newLargeFleet(DefaultOptions(seed), 150) }
 
 // newLargestDeployment starts a fleet in three zones with the settings of the largest
 // deployments.
-func newLargestDeployment(seed uint64, machinesPerZone int) *grown {
-	return growTo(largest(seed), machinesPerZone)
+func newLargestDeployment(seed uint64, machinesPerZone int) *largeFleet {
+	return newLargeFleet(largestDeploymentOptions(seed), machinesPerZone)
 }
 
-// largest returns the options of the largest deployments. Workers check their tasks
+// largestDeploymentOptions returns the options of the largest deployments. Workers check their tasks
 // every 100 ms instead of every 20 ms, to save simulation time.
-func largest(seed uint64) Options {
+func largestDeploymentOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	config := &opt.Config
 	config.ReportInterval, config.Lease, config.CancelWithin = 6*second, 31*second, 51*second
@@ -43,10 +43,10 @@
 	return opt
 }
 
-// growTo starts a fleet with the given number of machines in each zone, and counts the
+// newLargeFleet starts a fleet with the given number of machines in each zone, and counts the
 // scheduling rounds and the controllers' calls.
-func growTo(opt Options, machinesPerZone int) *grown {
-	fleet := &grown{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
+func newLargeFleet(opt Options, machinesPerZone int) *largeFleet {
+	fleet := &largeFleet{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
 	opt.Capacity = machinesPerZone
 	opt.Config.Stopwatch = func() func() time.Duration {
 		if fleet.Simulation != nil {
@@ -77,7 +77,7 @@
 
 // submitLoad submits a batch job of 40 tasks every 2 s, which keeps some 400 tasks
 // running, and a service of 8 replicas every 10 s.
-func (fleet *grown) submitLoad(until time.Duration) {
+func (fleet *largeFleet) submitLoad(until time.Duration) {
 	for i, at := 0, second; at < until; i, at = i+1, at+2*second {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 40)
 		job.Class, job.Image = "batch", fmt.Sprintf("img-%d", i%6)
@@ -214,7 +214,7 @@
 func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
-	fleet := growTo(opt, 150)
+	fleet := newLargeFleet(opt, 150)
 	fleet.submitLoad(100 * second)
 	var electedAt, settledAt []time.Duration
 	returnedAt := map[string]time.Duration{}
@@ -262,7 +262,7 @@
 
 // lostLeaseCount returns the number of machines whose lease has expired since they
 // started.
-func (fleet *grown) lostLeaseCount() int {
+func (fleet *largeFleet) lostLeaseCount() int {
 	n := 0
 	for _, worker := range fleet.Workers {
 		if worker.session > 1 {
@@ -276,7 +276,7 @@
 // without new information and to reply to it, whatever the size of the fleet.
 func TestAllocationsOfReports(t *testing.T) {
 	allocations := func(machinesPerZone int) float64 {
-		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		fleet := newLargeFleet(DefaultOptions(2), machinesPerZone)
 		fleet.submitLoad(20 * second)
 		fleet.RunUntil(20 * second)
 		leader, worker := fleet.Leader(), fleet.Workers[sortedKeys(fleet.Workers)[7]]
@@ -304,7 +304,7 @@
 // most one allocation for each machine.
 func TestAllocationsOfRounds(t *testing.T) {
 	allocations := func(machinesPerZone int) float64 {
-		fleet := growTo(DefaultOptions(2), machinesPerZone)
+		fleet := newLargeFleet(DefaultOptions(2), machinesPerZone)
 		for i := range machinesPerZone { // each takes three machines
 			fleet.At(second, func() { fleet.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
 		}
@@ -484,7 +484,7 @@
 // the load on the state service may reach half of its limits at most, and the tasks of
 // jobs that are cancelled as the leader crashes must be gone in time.
 func TestWorkByFleetSize(t *testing.T) {
-	limits := largest(1).Config
+	limits := largestDeploymentOptions(1).Config
 	var smallest fleetWork
 	for i, machinesPerZone := range []int{167, 333, 667, 1334} {
 		work := measureFleetWork(t, machinesPerZone)
@@ -514,7 +514,7 @@
 }
 
 // onLog calls f whenever a controller logs the given text.
-func (fleet *grown) onLog(text string, f func()) {
+func (fleet *largeFleet) onLog(text string, f func()) {
 	previous := fleet.Options.Tamper
 	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
 		if entry, ok := effect.(core.Log); ok && entry.Text == text {
@@ -525,7 +525,7 @@
 }
 
 // onReturn calls f for each machine that a controller returns to the cloud.
-func (fleet *grown) onReturn(f func(host string)) {
+func (fleet *largeFleet) onReturn(f func(host string)) {
 	previous := fleet.Options.Tamper
 	fleet.Options.Tamper = func(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
 		if call, ok := effect.(core.CloudCall); ok && call.Op == core.CloudReturn {
--- a/internal/sim/random_test.go
+++ b/internal/sim/random_scenarios_test.go
@@ -19,7 +19,7 @@
 // randomScenario is a simulation with the settings of the largest deployments and with
 // faults drawn from its seed.
 type randomScenario struct {
-	*grown
+	*largeFleet
 	drawnFaults []string // descriptions of what was drawn, for failure messages
 }
 
@@ -92,11 +92,11 @@
 	{"the state service refuses the leader", func(scenario *randomScenario, from, length time.Duration) {
 		scenario.At(from, func() { scenario.makeStoreUnavailableToLeader(length) })
 	}},
-	{"the state service is out", func(scenario *randomScenario, from, length time.Duration) { scenario.outage(from, from+length) }},
+	{"the state service is out", func(scenario *randomScenario, from, length time.Duration) { scenario.storeOutage(from, from+length) }},
 	{"the leader is cut off from the state service and the other controllers", func(scenario *randomScenario, from, length time.Duration) {
 		scenario.At(from, func() {
 			if leader := scenario.Leader(); leader != nil {
-				alone(scenario.Simulation, leader, length)
+				cutFromStoreAndPeers(scenario.Simulation, leader, length)
 			}
 		})
 	}},
@@ -114,7 +114,7 @@
 		scenario.applyToSomeMachines(from, length, func(worker *Worker) { worker.CannotReport = true }, func(worker *Worker) { worker.CannotReport = false })
 	}},
 	{"machines are cut off", func(scenario *randomScenario, from, length time.Duration) {
-		scenario.applyToSomeMachines(from, length, func(worker *Worker) { scenario.cutOff(worker, length, "hold") }, func(*Worker) {})
+		scenario.applyToSomeMachines(from, length, func(worker *Worker) { scenario.cutMachine(worker, length, "hold") }, func(*Worker) {})
 	}},
 	{"the cloud is out", func(scenario *randomScenario, from, length time.Duration) {
 		scenario.At(from, func() { scenario.Cloud.Unavailable = true })
@@ -141,7 +141,7 @@
 // faults start between 50 and 85 s. With every third seed, in addition, the leader
 // crashes ten times in about two minutes while half of the commands arrive late.
 func newRandomScenario(seed uint64) *randomScenario {
-	scenario := &randomScenario{grown: growTo(largest(seed), 20)}
+	scenario := &randomScenario{largeFleet: newLargeFleet(largestDeploymentOptions(seed), 20)}
 	scenario.Users.ProbesAllControllers = true
 	for i := range 24 {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 2+i%6)
--- a/internal/sim/roll_test.go
+++ b/internal/sim/rolling_upgrade_test.go
@@ -176,7 +176,7 @@
 	{name: "the leader crashes and restarts at once", inject: func(sim *Simulation, _ []time.Duration) {
 		sim.At(50*second, func() { sim.crashLeader(300 * time.Millisecond) })
 	}},
-	{name: "the state service is out", inject: func(sim *Simulation, _ []time.Duration) { sim.outage(55*second, 68*second) }},
+	{name: "the state service is out", inject: func(sim *Simulation, _ []time.Duration) { sim.storeOutage(55*second, 68*second) }},
 	{name: "the state service refuses the leader", inject: func(sim *Simulation, _ []time.Duration) {
 		sim.At(52*second, func() { sim.makeStoreUnavailableToLeader(9 * second) })
 	}},
@@ -237,7 +237,7 @@
 			for _, zone := range opt.Zones { // more machines than a registry page holds under the lowered limits
 				sim.Cloud.Rent("small", zone, false, 16)
 			}
-			load(sim, 130*second)
+			submitMixedLoad(sim, 130*second)
 			submitGangs(sim, 130*second) // from the start, so that some are refused until the upgrade is complete
 			watchLeaders(sim)
 			watchVersionMixes(sim, func(mix string) {
@@ -369,7 +369,7 @@
 				opt := upgradeOptions(seed)
 				opt.Tamper = watcher.observe
 				sim := New(opt)
-				load(sim, 130*second)
+				submitMixedLoad(sim, 130*second)
 				submitGangs(sim, 130*second)
 				watchLeaders(sim)
 				sim.upgradeController(sim.Controllers[0], 40*second)
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -215,7 +215,7 @@
 func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
 	guaranteedGang := func(tasks int) model.Job {
-		gang := gangOf("req-000009", tasks)
+		gang := gangJob("req-000009", tasks)
 		gang.Team = "own"
 		return gang
 	}
@@ -252,11 +252,11 @@
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 6, "req-000002": 0}},
 		{name: "a borrowing gang is preempted as a whole", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2), starts: true,
-			load: func(sim *Simulation) { sim.Users.Submit(gangOf("req-000001", 6), 200*second) }, remaining: map[string]int{"req-000001": 0}},
+			load: func(sim *Simulation) { sim.Users.Submit(gangJob("req-000001", 6), 200*second) }, remaining: map[string]int{"req-000001": 0}},
 		{name: "a gang that is partly within its own guarantee is not preempted", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2),
 			load: func(sim *Simulation) {
 				sim.Options.Config.Teams["t"] = core.Team{Guaranteed: sched.Resources{CPUs: 8}}
-				sim.Users.Submit(gangOf("req-000001", 6), 200*second)
+				sim.Users.Submit(gangJob("req-000001", 6), 200*second)
 			}, remaining: map[string]int{"req-000001": 6}},
 		{name: "no guarantee and equal priority", gang: guaranteedGang(2),
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -79,7 +79,7 @@
 }{
 	{"gang-replacement", "A machine with waiting tasks is reclaimed while a gang gathers. The other tasks keep waiting. Replacement tasks with the same attempt number complete the gang.", 60 * second, func(sim *Simulation) {
 		sim.Cloud.Rent("small", "b", false, 2) // one machine more than the gang needs
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 15*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskFetching) == 5 }, func() {
 			sim.machineWithTask("req-000001/4").Pause(5 * second)
 		})
@@ -89,7 +89,7 @@
 		})
 	}},
 	{"gang-loses-task", "A running gang loses a task with its machine. The other tasks are stopped at once. The next attempt starts when all of them are gone, and resumes from the last checkpoint.", 70 * second, func(sim *Simulation) {
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 15*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskRunning) == 5 }, func() {
 			sim.After(7*second, func() {
 				sim.tracef("machine %s is reclaimed without notice", sim.machineWithTask("req-000001/0").info.Host)
@@ -98,7 +98,7 @@
 		})
 	}},
 	{"gang-stopped-in-time", "One of a gang's machines gets a reclaim notice. All tasks are told to stop by one decision and save together. The next attempt resumes from there.", 70 * second, func(sim *Simulation) {
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 15*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskRunning) == 5 }, func() {
 			sim.After(2*second, func() {
 				sim.tracef("machine %s gets a reclaim notice", sim.machineWithTask("req-000001/0").info.Host)
@@ -107,7 +107,7 @@
 		})
 	}},
 	{"gang-told-too-late", "One of a gang's machines gets a reclaim notice, but another is unreachable and can't be told to stop in time. The save fails, and the gang falls back to its last checkpoint.", 90 * second, func(sim *Simulation) {
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 15*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskRunning) == 5 }, func() {
 			sim.After(2*second, func() {
 				reclaimed := sim.machineWithTask("req-000001/0")
@@ -116,7 +116,7 @@
 				for _, endpoint := range sortedKeys(sim.Workers) {
 					if wk := sim.Workers[endpoint]; wk != reclaimed && len(wk.tasks) > 0 {
 						sim.tracef("machine %s can't be reached", wk.info.Host)
-						sim.cutOff(wk, 12*second, "hold")
+						sim.cutMachine(wk, 12*second, "hold")
 						break
 					}
 				}
@@ -124,7 +124,7 @@
 		})
 	}},
 	{"gang-takeover", "The leader crashes while a gang gathers, again while it runs, and again while it is being stopped. Each successor takes over the attempt as it is.", 100 * second, func(sim *Simulation) {
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 25*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 25*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskFetching) == 5 }, func() {
 			sim.machineWithTask("req-000001/4").Pause(6 * second)
 		})
@@ -139,7 +139,7 @@
 		})
 	}},
 	{"gang-old-zone", "A gang that must be in one zone runs in a zone that is cut off. The next attempt starts in another zone, but not before the leases in the old zone have expired.", 90 * second, func(sim *Simulation) {
-		job := gangOf("req-000001", 5)
+		job := gangJob("req-000001", 5)
 		job.OneZone = true
 		sim.At(second, func() { sim.Users.Submit(job, 20*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState(job.ID, model.TaskRunning) == 5 }, func() {
@@ -151,7 +151,7 @@
 		})
 	}},
 	{"gang-not-completed", "A gang that gathers loses a machine, and the cloud has no other. The other tasks wait while a replacement could still come in time. Then they are stopped at once and free their capacity.", 90 * second, func(sim *Simulation) {
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 15*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskFetching) == 5 }, func() {
 			sim.machineWithTask("req-000001/4").Pause(5 * second)
 		})
@@ -164,12 +164,12 @@
 	}},
 	{"gangs-compete", "Two gangs are submitted at once, and there is capacity for one at a time. Neither holds part of the capacity that the other needs.", 80 * second, func(sim *Simulation) {
 		sim.Options.Capacity = 1
-		sim.At(second, func() { sim.Users.Submit(gangOf("req-000001", 5), 12*second) })
-		sim.At(1100*time.Millisecond, func() { sim.Users.Submit(gangOf("req-000002", 5), 12*second) })
+		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 12*second) })
+		sim.At(1100*time.Millisecond, func() { sim.Users.Submit(gangJob("req-000002", 5), 12*second) })
 	}},
 	{"gang-limit", "A gang whose tasks together exceed the team's limit is refused. A gang within the limit waits for the team's other tasks to end.", 80 * second, func(sim *Simulation) {
 		sim.Options.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
-		impossible, later, earlier := gangOf("req-000001", 5), gangOf("req-000002", 4), batchJob("req-000003", 4)
+		impossible, later, earlier := gangJob("req-000001", 5), gangJob("req-000002", 4), batchJob("req-000003", 4)
 		impossible.Team, later.Team, earlier.Team = "tight", "tight", "tight"
 		sim.At(second, func() { sim.Users.Submit(earlier, 10*second) })
 		sim.At(5*second, func() { sim.Users.SubmitImpossible(impossible) })
@@ -334,7 +334,7 @@
 		sim.At(30*second, func() {
 			leader := sim.Leader()
 			sim.tracef("%s loses the state service and its peers", leader.Name)
-			alone(sim, leader, 25*second)
+			cutFromStoreAndPeers(sim, leader, 25*second)
 			for at := 2; at < 30; at += 4 {
 				sim.After(time.Duration(at)*second, func() {
 					askedAt := sim.Now
@@ -416,7 +416,7 @@
 		options.Config.Teams["tight"] = core.Team{}
 		sim := New(options)
 		sim.TraceEnabled = true
-		load(sim, 60*second)
+		submitMixedLoad(sim, 60*second)
 		sim.At(30*second, func() { sim.Leader().Crash() })
 		sim.RunUntil(90 * second)
 		return strings.Join(sim.Trace, "\n")
