--- a/cmd/mulleinfall/main.go
+++ b/cmd/mulleinfall/main.go
@@ -79,13 +79,13 @@
 // fails.
 func serve(settings *config.Settings) error {
 	limits := &settings.Params.Limits
-	// The memory limit of the platform covers the whole process, not just the heap,
-	// so the soft limit of the Go runtime is 70 % of it. Below the soft limit the
-	// garbage collector runs rarely, which saves processor time.
+	// The memory limit of the platform covers the whole process, also memory that the Go
+	// runtime doesn't count, so the soft limit of the runtime is 70 % of it. Below the
+	// soft limit the garbage collector runs rarely, which saves processor time.
 	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(300)
 	runtime.GOMAXPROCS(max(1, int(limits.CoreShare+0.5)))
-	var incarnation [8]byte
+	var incarnation [8]byte // random: tells this run of the process from earlier ones
 	if _, err := rand.Read(incarnation[:]); err != nil {
 		return fmt.Errorf("random seed: %w", err)
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,17 +8,18 @@
 
 // Bounds of the platform's settings within which the service works.
 const (
-	minMemoryMB           = 24 // an idle process occupies about 20 MB of resident memory
-	minTxnOps             = 2  // a change, and the removal of a key that it makes obsolete
-	minValueKB            = 6
-	minNextValueKB        = 2   // a job's description and one part of a task bitmap still fit
-	minReportsPerLease    = 2   // worker reports during a lease
-	minReportsPerGangWait = 2   // worker reports while the tasks of a gang wait for one another
-	maxLeasesPerGangWait  = 100 // worker leases while the tasks of a gang wait for one another
+	minMemoryMB           = 24  // an idle process occupies about 20 MB of resident memory
+	minTxnOps             = 2   // a change, and the removal of a key that it makes obsolete
+	minValueKB            = 6   // one chunk of a task bitmap (see package core) fits in one value
+	minNextValueKB        = 2   // a typical job description fits, and a chunk of a task bitmap fits in several values
+	minReportsPerLease    = 2   // report intervals in a worker's lease
+	minReportsPerGangWait = 2   // report intervals in gang_wait_s
+	maxLeasesPerGangWait  = 100 // worker leases in gang_wait_s
 )
 
-// check validates all settings of the platform. Its error names the field and the
-// reason.
+// check validates the platform's settings. Its error names the field and the reason.
+// Load also checks that fd_limit is sufficient. Objectives need no check: addGoals
+// ignores those that it can't use.
 func (p *Platform) check() error {
 	for _, check := range []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
 		if err := check(); err != nil {
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// numericField is a number in the settings and its lower bound.
+// numericField is a number in the settings.
 type numericField struct {
 	field string
 	value float64
-	min   float64
+	min   float64 // inclusive lower bound, besides the check of the sign; 0: none
 }
 
 func (p *Platform) checkNumbers() error {
@@ -105,7 +106,8 @@
 }
 
 // checkGangTimes checks the two gang timeouts. They must be given together or not
-// at all; without them, gangs are refused.
+// at all; without them, the service refuses jobs that are gangs (tasks that only run
+// together).
 func (p *Platform) checkGangTimes() error {
 	workers := &p.Params.Workers
 	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,8 +17,8 @@
 // ignored, because later versions of the platform may add some.
 type Platform struct {
 	Name     string `json:"node_name"`
-	APIAddr  string `json:"api_addr"`
-	PeerAddr string `json:"back"`
+	APIAddr  string `json:"api_addr"` // where this controller serves users and workers
+	PeerAddr string `json:"back"`     // where it receives messages of the other controllers
 	Peers    []Peer `json:"others"`
 	Services struct {
 		Cloud string `json:"cloud"`
@@ -34,16 +34,16 @@
 			LeaseS  float64 `json:"lease_s"`  // duration of a worker's lease
 			CancelS float64 `json:"cancel_s"` // time within which the tasks of a cancelled job must be gone
 			// GangWaitS is how long a task of a gang waits for the others to be ready.
-			// GangPeerS is how soon a running task notices that another one is gone.
-			// Both are 0 if they are not given; gangs are refused then.
+			// GangPeerS is how soon a running task of a gang notices that another one is
+			// gone. Both are 0 if they are not given; gangs are refused then.
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
 		State struct {
-			RPS      float64 `json:"rps"`
-			WriteRPS float64 `json:"write_rps"`
-			ValueKB  float64 `json:"value_kb"`
-			TxnOps   int     `json:"txn_ops"`
+			RPS      float64 `json:"rps"`       // requests per second
+			WriteRPS float64 `json:"write_rps"` // changes of keys per second
+			ValueKB  float64 `json:"value_kb"`  // maximum size of a value
+			TxnOps   int     `json:"txn_ops"`   // maximum number of changes in one transaction
 			// Next holds the limits that the state service will switch to at a later
 			// time without notice. 0 means that a limit stays as it is.
 			Next struct {
@@ -53,7 +53,7 @@
 			} `json:"next"`
 		} `json:"state"`
 		Cloud struct {
-			RPS      float64 `json:"rps"`
+			RPS      float64 `json:"rps"`        // requests per second
 			ListLagS float64 `json:"list_lag_s"` // how far the cloud's list of machines may be behind
 		} `json:"cloud"`
 		Limits struct {
@@ -80,11 +80,11 @@
 	GPUsMax float64 `json:"gpus_max"` // limit; 0 means none
 }
 
-// Objective is a target for a class of jobs. Objectives of an unknown kind are
-// ignored.
+// Objective is a target for a class of jobs. Objectives of an unknown kind or without
+// a positive limit are ignored.
 type Objective struct {
-	Kind    string  `json:"kind"` // "wait" (for tasks to start), "finished" or "deadline"
-	Class   string  `json:"class"`
+	Kind    string  `json:"kind"`     // "wait" (for tasks to start), "finished" or "deadline"
+	Class   string  `json:"class"`    // jobs name their class in the field "lane"
 	WithinS float64 `json:"within_s"` // time limit of a "wait" or "finished" objective
 	Times   float64 `json:"times"`    // limit of a "deadline" objective, as a multiple of the due time
 }
@@ -114,10 +114,12 @@
 	if err := s.Platform.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", platformPath, err)
 	}
+	// The connections of users and workers must not get fewer file descriptors than the
+	// controller's own.
 	if limits := s.SocketLimits(); limits.Public < limits.Other {
 		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platformPath, s.Params.Limits.Files, len(s.Peers)+1)
 	}
-	s.RoundBudget = seconds(s.Params.Workers.ReportS) / 30
+	s.RoundBudget = seconds(s.Params.Workers.ReportS) / 30 // the default
 	if operatorPath != "" {
 		if err := s.applyOperatorFile(operatorPath); err != nil {
 			return nil, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// validPlatform is a valid settings file. It also has unknown fields, such as "domain"
+// and "news", which are ignored.
 const validPlatform = `{
   "node_name": "c0", "domain": "a", "api_addr": "127.0.0.1:1", "back": "127.0.0.1:2", "news": [1],
   "others": [{"node_name": "c1", "domain": "b", "peer_addr": "127.0.0.1:3"}],
@@ -28,7 +30,8 @@
 	return p
 }
 
-// TestLoad checks that settings of both files reach the configuration of the core.
+// TestLoad checks that settings of both files reach the settings of the core (package
+// core) and the round budget.
 func TestLoad(t *testing.T) {
 	settings, err := Load(writeFile(t, "s.json", validPlatform), writeFile(t, "o.hcl", "dispatch {\n skip_limit = 7\n}\nfleet {\n idle_boots = 3\n}\n"))
 	if err != nil {
@@ -46,6 +49,8 @@
 // TestLoadRejectsInvalidSettings checks that the error for an invalid setting is one
 // line that names the file, the field and the reason.
 func TestLoadRejectsInvalidSettings(t *testing.T) {
+	// In each case, from is replaced by to in validPlatform. If operator is not empty, it is
+	// the content of the operators' file.
 	cases := []struct{ from, to, operator, want string }{
 		{`"node_name": "c0"`, `"node_name": ""`, "", "s.json: node_name: missing"},
 		{`"127.0.0.1:4"`, `"nowhere"`, "", `endpoints.cloud: "nowhere" is not host:port`},
@@ -79,14 +84,15 @@
 		}
 		_, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, c.from, c.to, 1)), operatorPath)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q -> %q: got %v, want one line with %q", c.from, c.to, err, c.want)
+			t.Errorf("%q replaced by %q: got error %v, want one line that contains %q", c.from, c.to, err, c.want)
 		}
 	}
 }
 
 // TestSocketLimitsAddUp checks that the parts add up to the file descriptor limit, and
 // that the public part is large enough for all machines of a fleet to connect to one
-// controller: 1,785 machines once occupied all public sockets.
+// controller. In an earlier version the public part was two thirds of the limit, and
+// 1,785 machines occupied all of it.
 func TestSocketLimitsAddUp(t *testing.T) {
 	for _, files := range []int{100, 500, 1000, 1200, 2446, 3163, 100_000} {
 		for peers := range 5 {
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -7,8 +7,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// CoreConfig returns the part of the settings that the core needs. The
-// incarnation number differs each time the process is started.
+// CoreConfig returns the settings that the core (package core, which makes all
+// decisions) needs. The incarnation number differs each time the process is started.
 func (s *Settings) CoreConfig(incarnation uint64) core.Config {
 	params := &s.Params
 	cfg := core.Config{
@@ -37,7 +37,8 @@
 	return cfg
 }
 
-// Warnings names the guarantees that the service cannot give with these settings.
+// Warnings names the guarantees that the service cannot give with these settings: with
+// several controllers, that tasks of a cancelled job are always gone within cancel_s.
 func (s *Settings) Warnings() []string {
 	cfg := s.CoreConfig(0)
 	if bound := cfg.CancelBound(); len(cfg.Peers) > 0 && bound > cfg.CancelWithin {
@@ -47,8 +48,8 @@
 }
 
 // applyNextLimits replaces each limit of the state service by the smaller of its
-// current and its announced later value. The limits change without notice, and a
-// value that exceeds the later limit could not be written any more.
+// current and its announced later value. The service switches to the later limits
+// without notice, and from then on a value that exceeds them can't be written.
 func (s *Settings) applyNextLimits(cfg *core.Config) {
 	next := &s.Params.State.Next
 	if next.WriteRPS > 0 {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,20 +19,20 @@
 
 // DispatchSettings tunes how tasks are assigned to machines.
 type DispatchSettings struct {
-	SkipLimit *int     `hcl:"skip_limit,optional"` // how often tasks of later jobs may go before a waiting job's
+	SkipLimit *int     `hcl:"skip_limit,optional"` // how many tasks of later jobs may go before a waiting job, until it takes any free machine
 	BudgetMS  *float64 `hcl:"budget_ms,optional"`  // time that one dispatch round may take
 }
 
 // StateSettings tunes the writes to the state service.
 type StateSettings struct {
-	WriteEveryS *float64 `hcl:"write_every_s,optional"` // minimum time between two writes of a job's bitmap of finished tasks
+	WriteEveryS *float64 `hcl:"write_every_s,optional"` // minimum time between two writes of the same part of a job's bitmap of finished tasks
 }
 
 // FleetSettings tunes when machines are rented from the cloud and returned to it.
 type FleetSettings struct {
-	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // boot times for which an idle machine is kept
-	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // boot times after which a rented machine that has never reported is given up
-	Patience      *float64 `hcl:"patience,optional"`       // share of a job's spare time to pass before more expensive machines are rented
+	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // how long an idle machine is kept, in multiples of its boot time
+	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // time for a rented machine's first report until it is given up, in multiples of its boot time
+	Patience      *float64 `hcl:"patience,optional"`       // share of a job's spare time (before it would miss its goal) to pass before more expensive machines are rented
 	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is reserved
 	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is reserved
 	MaxMachines   *int     `hcl:"max_machines,optional"`   // maximum number of machines; without it, as many as the cloud offers
@@ -65,7 +65,7 @@
 	maxBudgetMS       = 10_000
 	minWriteIntervalS = 0.001
 	maxWriteIntervalS = 60
-	maxBoots          = 1_000_000
+	maxBoots          = 1_000_000 // multiples of a machine's boot time
 	maxCount          = 1_000_000
 )
 
--- a/internal/config/sockets.go
+++ b/internal/config/sockets.go
@@ -3,13 +3,14 @@
 // SocketLimits divides the file descriptors of the process between their uses.
 type SocketLimits struct {
 	Public         int // connections of users and workers
-	DirectCommands int // direct commands in progress
+	DirectCommands int // direct commands (calls to workers) in progress
 	IdleWorkers    int // idle connections to workers, kept for the next command
 	Other          int // state service, cloud, other controllers, listeners, and the Go runtime
 }
 
-// socketsPerPeer bounds the connections from and to one other controller: one in
-// each direction, and at least as many again that were cut off and have not timed out.
+// socketsPerPeer is the number of file descriptors reserved for the connections from
+// and to one other controller: one in each direction, and the rest for older ones that
+// were cut off and have not timed out yet.
 const socketsPerPeer = 6
 
 // SocketLimits divides the setting fd_limit. Workers keep their connections open,
