--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -110,8 +110,8 @@
 // together).
 func (p *Platform) checkGangTimes() error {
 	workers := &p.Params.Workers
-	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
-	for _, number := range []numericField{{field: wait, value: workers.GangWaitS}, {field: peer, value: workers.GangPeerS}} {
+	const waitField, peerField = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
+	for _, number := range []numericField{{field: waitField, value: workers.GangWaitS}, {field: peerField, value: workers.GangPeerS}} {
 		if !(number.value >= 0) || math.IsInf(number.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", number.field, number.value)
 		}
@@ -120,15 +120,15 @@
 	case workers.GangWaitS == 0 && workers.GangPeerS == 0:
 		return nil
 	case workers.GangWaitS == 0:
-		return fmt.Errorf("%s: missing beside gang_peer_s", wait)
+		return fmt.Errorf("%s: missing beside gang_peer_s", waitField)
 	case workers.GangPeerS == 0:
-		return fmt.Errorf("%s: missing beside gang_wait_s", peer)
+		return fmt.Errorf("%s: missing beside gang_wait_s", peerField)
 	case workers.GangWaitS < minReportsPerGangWait*workers.ReportS:
-		return fmt.Errorf("%s: %v is less than two reports", wait, workers.GangWaitS)
+		return fmt.Errorf("%s: %v is less than two reports", waitField, workers.GangWaitS)
 	case workers.GangWaitS > maxLeasesPerGangWait*workers.LeaseS:
-		return fmt.Errorf("%s: %v is more than %d leases", wait, workers.GangWaitS, maxLeasesPerGangWait)
+		return fmt.Errorf("%s: %v is more than %d leases", waitField, workers.GangWaitS, maxLeasesPerGangWait)
 	case workers.GangPeerS > workers.LeaseS:
-		return fmt.Errorf("%s: %v is longer than lease_s", peer, workers.GangPeerS)
+		return fmt.Errorf("%s: %v is longer than lease_s", peerField, workers.GangPeerS)
 	}
 	return nil
 }
