--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,6 @@
 // Package api serves users, workers and health checks over HTTP. It validates
-// requests, passes them as events to the controller and writes the replies, which the
-// core decides on.
+// requests, passes them as events to the core (package core, which makes all decisions)
+// and writes the core's replies.
 package api
 
 import (
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	// Most requests to a leader are worker reports. This package decodes them in a
-	// third of the time that encoding/json takes.
+	// Most requests to a leader are worker reports. fastjson decodes them in a third of
+	// the time that encoding/json takes.
 	fastjson "github.com/segmentio/encoding/json"
 
 	"mulleinfall/internal/core"
@@ -21,15 +21,16 @@
 	"mulleinfall/internal/web"
 )
 
-// maxBody is the longest request body that the protocol allows, in bytes.
+// maxBody is the longest body of a submission that the protocol allows, in bytes. A
+// report may be 16 times as long.
 const maxBody = 64 << 10
 
 // Backend is the controller that processes the requests.
 type Backend interface {
 	// Process passes an event to the core and waits for the reply until the deadline.
 	// It makes the event from the id that the reply will carry, and calls onAccepted
-	// once the event has been passed on. The result is false if there was no reply in
-	// time.
+	// once the core's goroutine has taken the event. The result is false if there was no
+	// reply in time.
 	Process(makeEvent func(requestID uint64) core.Event, deadline time.Duration, onAccepted func()) (core.Reply, bool)
 	// Now returns the monotonic clock that deadlines refer to.
 	Now() time.Duration
@@ -39,7 +40,8 @@
 
 // Users wait 5 s for the response to a submission and 2 s for the response to a poll,
 // workers wait 4 s for the response to a report. The timeouts are shorter, so that the
-// client gets a response before it gives up.
+// client normally gets a response before it gives up. Cancellations have the timeout of
+// submissions, health checks that of polls.
 const (
 	submitTimeout = 4 * time.Second
 	pollTimeout   = 1800 * time.Millisecond
@@ -134,8 +136,9 @@
 }
 
 // closeUnlessOK closes the connection after any response other than 200. A worker that is
-// redirected to the leader no longer needs its connection, and after a crash all workers
-// of a large fleet try every controller, each of which has few sockets.
+// redirected to the leader no longer needs its connection. And after a crash of the
+// leader, all workers of a large fleet try every controller, each of which has few
+// sockets.
 type closeUnlessOK struct{ http.ResponseWriter }
 
 // Unwrap lets package web find its own response writer. http.ResponseController uses the
@@ -168,9 +171,10 @@
 // smallBody is the size in bytes that nearly all bodies fit in.
 const smallBody = 4 << 10
 
-// read reads a body of at most limit bytes. It rejects a longer body without reading it.
-// If the bodies being read leave too little of freeBytes, it responds with 503 and
-// Retry-After.
+// read reads a body of at most limit bytes. It rejects a longer body: at once if there is
+// a Content-Length, otherwise when limit bytes have been read. If the bodies being read
+// leave too little of freeBytes, it responds with 503 and Retry-After. It returns false if
+// it has responded.
 func (b *bodyReader) read(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	if r.ContentLength > limit {
 		rejectBody(w, &http.MaxBytesError{Limit: limit})
@@ -178,7 +182,7 @@
 	}
 	size := r.ContentLength
 	if size < 0 {
-		size = limit // the request has no Content-Length
+		size = limit // no Content-Length: assume the longest body
 	}
 	if size > smallBody {
 		defer b.freeBytes.Add(size)
@@ -197,7 +201,8 @@
 	return body.Bytes(), true
 }
 
-// rejectBody responds with 400 to a body that could not be read.
+// rejectBody responds with 400 to a body that is too long or could not be read. It closes
+// the connection, because the unread rest would be read as the next request.
 func rejectBody(w http.ResponseWriter, err error) {
 	w.Header().Set("Connection", "close")
 	var tooLong *http.MaxBytesError
@@ -213,7 +218,9 @@
 func processEvent(w http.ResponseWriter, backend Backend, timeout time.Duration, makeEvent func(uint64) core.Event) {
 	deadline := backend.Now() + timeout
 	if arrivedAt := web.ArrivedAt(w); !arrivedAt.IsZero() {
-		deadline -= time.Since(arrivedAt) // part of the timeout passed before the request was admitted
+		// Count the timeout from the arrival of the request, which may have waited for its
+		// admission (see web.Server).
+		deadline -= time.Since(arrivedAt)
 	}
 	reply, ok := backend.Process(makeEvent, deadline, func() { web.AdmitNext(w) })
 	if !ok {
@@ -227,7 +234,8 @@
 	}
 	if reply.SendBefore != 0 && backend.Now() >= reply.SendBefore {
 		// The right to act as leader, on which the reply depends, expired before the
-		// reply could be sent.
+		// reply could be sent. Only replies to reports have such a limit. After a 503 a
+		// worker tries the next controller by itself, without Retry-After.
 		writeJSON(w, 503, core.Problem{Error: "no longer leading"}, 0)
 		return
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -14,6 +14,7 @@
 	"mulleinfall/internal/model"
 )
 
+// validJob is a valid submission. It also has an unknown field, "new", which is ignored.
 const validJob = `{"id":"req-000412","lane":"l","owner":"t","shape":"batch","rank":"high","pieces":16,
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"build":"img-07","pullGb":6.2,"flavors":["g8"],"site":null,
  "samePlace":true,"scatter":false,"loaners":true,"guessS":240.0,"snapshotEveryS":30.0,"snapshotCostS":4.0,"dueS":900.0,"new":[1]}`
@@ -46,7 +47,7 @@
 	}
 	for _, c := range wrong {
 		if _, err := ParseJob([]byte(strings.Replace(validJob, c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want one that contains %q", c.to, err, c.want)
+			t.Errorf("validJob changed to contain %q: got error %v, want one that contains %q", c.to, err, c.want)
 		}
 	}
 	// Fields that may be null may also be left out.
@@ -55,7 +56,7 @@
 	}
 }
 
-// fakeBackend gives the same reply to every event.
+// fakeBackend gives the same reply to every event, or none in time if ok is false.
 type fakeBackend struct {
 	reply           core.Reply
 	ok              bool
@@ -79,7 +80,7 @@
 }
 
 // TestStatusCodes checks the status of the response for each path and method, and that
-// 503 comes with Retry-After.
+// the 503 of an overloaded controller comes with Retry-After.
 func TestStatusCodes(t *testing.T) {
 	responding := &fakeBackend{reply: core.Reply{Status: 200, Body: core.JobStatus{ID: "req-000001", Phase: "queued"}}, ok: true}
 	overloaded := &fakeBackend{}
@@ -208,7 +209,7 @@
 	 "tenure":1,"tick":88,"epoch":41,"recallS":7.5,"pieces":[{"piece":"req-000412/3","try":2,"phase":"exited","cause":"done"}]}`)
 	want := `{"epoch":41,"orders":[{"verb":"start","piece":"req-000412/4","try":2},{"verb":"kill","piece":"req-000377/1","try":1,"windDownS":0}]}`
 	if w.Body.String() != want {
-		t.Errorf("got reply %s, want epoch 41, a start of req-000412/4 as attempt 2, and a kill of req-000377/1, attempt 1, with windDownS 0", w.Body)
+		t.Errorf("got body %s, want epoch 41, a start of req-000412/4 as attempt 2, and a kill of req-000377/1, attempt 1, with windDownS 0", w.Body)
 	}
 	got, _ := json.Marshal(backend.lastEvent)
 	for _, part := range []string{`"host":"n-000231"`, `"recallS":7.5`, `"tick":88`, `"cause":"done"`} {
@@ -235,9 +236,9 @@
 	// Users keep theirs.
 	backend := &fakeBackend{ok: true, reply: core.Reply{Status: 200, Body: core.ReportReply{}}, nearSocketLimit: true}
 	if w := serveRequest(backend, "POST", "/agent/beat", `{"host":"n-1"}`); w.Code != 200 || w.Header().Get("Connection") != "close" {
-		t.Errorf("few sockets left: worker got status %d, want 200 and a closed connection", w.Code)
+		t.Errorf("reply to a worker when few sockets are left: got status %d, want 200 with Connection: close", w.Code)
 	}
 	if w := serveRequest(backend, "GET", "/api/jobs/req-000001", ""); w.Header().Get("Connection") != "" {
-		t.Error("few sockets left: connection of a user got closed, want it kept")
+		t.Error("reply to a user when few sockets are left: got a Connection header, want none")
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -10,8 +10,8 @@
 const (
 	minMemoryMB           = 24  // an idle process occupies about 20 MB of resident memory
 	minTxnOps             = 2   // a change, and the removal of a key that it makes obsolete
-	minValueKB            = 6   // one chunk of a task bitmap (see package core) fits in one value
-	minNextValueKB        = 2   // a typical job description fits, and a chunk of a task bitmap fits in several values
+	minValueKB            = 6   // one chunk of a job's bitmap of finished tasks (see package core) fits in one value
+	minNextValueKB        = 2   // a typical job description fits, and a chunk of a bitmap is split over several values
 	minReportsPerLease    = 2   // report intervals in a worker's lease
 	minReportsPerGangWait = 2   // report intervals in gang_wait_s
 	maxLeasesPerGangWait  = 100 // worker leases in gang_wait_s
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node runs the core of a controller. One goroutine owns the core's state:
-// it passes events to the state and carries out the effects that the state returns
-// (replies, messages to other controllers, calls to the state service, the cloud and
-// the workers).
+// Package node runs the core of a controller (package core, which makes all decisions
+// and does no input or output). One goroutine owns the core's state: it passes events to
+// the state and carries out the effects that the state returns (replies, log lines,
+// messages to other controllers, calls to the state service, the cloud and the workers).
 package node
 
 import (
@@ -26,9 +26,9 @@
 	"mulleinfall/internal/web"
 )
 
-// maxLogLinesPerSecond bounds the log lines of the core. A burst may hold the lines
-// of ten seconds, which is one line for each of 2,000 machines when all of them are
-// lost together. Dropped lines are counted in the log.
+// maxLogLinesPerSecond bounds the log lines of the core below the level error. A burst
+// may hold the lines of ten seconds, which is one line for each of 2,000 machines when
+// all of them are lost together. The log says how many lines were dropped.
 const maxLogLinesPerSecond = 200
 
 // maxTickInterval bounds the time between two ticks if the report interval is long.
@@ -41,13 +41,14 @@
 	settings    *config.Settings
 	workerLease time.Duration // lease duration of the workers
 	startedAt   time.Time
-	// tickInterval is as long as the shortest interval between two dispatch rounds, but
-	// at most maxTickInterval. Each tick wakes the process up, which costs more on a
-	// small machine than the work of the tick itself.
+	// tickInterval is as long as the shortest interval between two dispatch rounds (a
+	// 24th of the report interval), but at most maxTickInterval. It is no shorter because
+	// each tick wakes the process up, which costs more on a small machine than the work
+	// of the tick itself.
 	tickInterval time.Duration
 	state        *core.State
 
-	urgentEvents      chan core.Event // from peers, state service, cloud and answered commands: leadership depends on them
+	urgentEvents      chan core.Event // messages of peers and results of calls: leadership depends on them
 	requests          chan request    // from users and workers
 	nextID            atomic.Uint64
 	pendingRequests   map[uint64]request // requests without a reply so far, by id
@@ -61,7 +62,7 @@
 	// logLimiter keeps a flood of log lines from using up processor time that the
 	// scheduler needs.
 	logLimiter      *rate.Limiter
-	droppedLogLines int
+	droppedLogLines int // since the last line that was logged
 
 	publicListener *web.LimitedListener
 }
@@ -71,9 +72,9 @@
 func New(settings *config.Settings, incarnation uint64) *Controller {
 	sockets := settings.SocketLimits()
 	// The requests channel has no buffer: requests wait in package web, one for each
-	// connection, where a waiting request has not been read yet. The urgent events are
-	// mostly responses to calls of this controller. Each call needs a socket, so the
-	// buffer has one place for each socket.
+	// connection, and most of them are decoded only when it is their turn. The urgent
+	// events are mostly results of calls of this controller. Each call needs a socket, so
+	// the buffer has one place for each socket.
 	c := &Controller{settings: settings, startedAt: time.Now(), requests: make(chan request),
 		urgentEvents:    make(chan core.Event, settings.Params.Limits.Files),
 		pendingRequests: map[uint64]request{}, peerLinks: map[string]*peer.Link{},
@@ -108,8 +109,8 @@
 	}
 	c.store = &statestore.Client{Addr: settings.Services.State, HTTP: newClient(8, 8)}
 	c.cloud = &cloud.Client{Addr: settings.Services.Cloud, HTTP: newClient(4, 4), Timeout: 5 * time.Second}
-	// A direct command that is not answered within a report interval is given up: the
-	// worker's next report shows its outcome.
+	// A direct command (a call to a worker) that is not answered within a report interval
+	// is given up: the worker's next report shows the outcome of the command.
 	c.agent = &agent.Client{HTTP: newClient(1, sockets.IdleWorkers), Timeout: reportInterval, Now: c.Now}
 	for _, p := range settings.Peers {
 		c.peerLinks[p.Name] = peer.NewLink(settings.Name, p.Addr, cfg.Lease/8)
@@ -156,9 +157,9 @@
 	}
 }
 
-// handleNext passes one event to the core. Urgent events and ticks are handled before
-// requests: otherwise a flood of worker reports would delay the renewal of the
-// leadership, and the leader that has to handle the reports would lose its term.
+// handleNext waits for one event and passes it to the core. Urgent events and ticks are
+// handled before requests: otherwise a flood of worker reports would delay the renewal of
+// the leadership, and the leader that has to handle the reports would lose its term.
 func (c *Controller) handleNext(ctx context.Context, tick <-chan time.Time, errs <-chan error) error {
 	select {
 	case ev := <-c.urgentEvents:
@@ -190,7 +191,7 @@
 type request struct {
 	id       uint64
 	event    core.Event
-	deadline time.Duration
+	deadline time.Duration   // by Controller.Now
 	reply    chan core.Reply // holds one reply; status 0 means that the deadline has passed
 }
 
@@ -223,8 +224,9 @@
 	}
 }
 
-// expiryCheckInterval is the time between two searches for expired requests. A client
-// learns at most this much after the deadline that there is no reply.
+// expiryCheckInterval is the minimum time between two searches for expired requests. The
+// search is part of a tick, so a client learns at most this interval and a tickInterval
+// after its deadline that there is no reply.
 const expiryCheckInterval = 200 * time.Millisecond
 
 // step passes one event to the state and carries out the effects.
@@ -260,7 +262,8 @@
 	}
 }
 
-// postUrgent passes an event to the goroutine that owns the state.
+// postUrgent passes an event to the goroutine that owns the state, or drops it if ctx is
+// cancelled.
 func (c *Controller) postUrgent(ctx context.Context, ev core.Event) {
 	select {
 	case c.urgentEvents <- ev:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 }
 
 // TestUrgentEventsGoBeforeReports checks that a controller handles the events that
-// leadership depends on before waiting reports. Otherwise a flood of reports delays the
-// renewal of the leadership: a leader lost its term that way.
+// leadership depends on before waiting reports. Without this rule, a flood of reports
+// delays the renewal of the leadership until the leader loses its term.
 func TestUrgentEventsGoBeforeReports(t *testing.T) {
 	c := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(),
 		pendingRequests: map[uint64]request{}, requests: make(chan request, 64), urgentEvents: make(chan core.Event, 64)}
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestExpiredRequestsAreDropped checks that a request whose deadline passes before it is
-// handled is dropped, and that one whose deadline passes before its reply is ended. Both
-// clients get the result that there was no reply in time.
+// TestExpiredRequestsAreDropped checks that a request is dropped if its deadline passes
+// before it is handled, and ended if its deadline passes while it waits for its reply. In
+// both cases Process returns that there was no reply in time.
 func TestExpiredRequestsAreDropped(t *testing.T) {
 	c := &Controller{store: &statestore.Client{HTTP: &http.Client{Transport: unreachableNetwork{}}}, startedAt: time.Now(), pendingRequests: map[uint64]request{}, requests: make(chan request, 4)}
 	type outcome struct {
@@ -65,7 +65,7 @@
 	done = report(time.Hour)
 	c.handleRequest(t.Context(), <-c.requests)
 	if got := <-done; !got.ok || got.status != 421 || len(c.pendingRequests) != 0 {
-		t.Errorf("report to a controller that is not the leader: got %+v, want status 421 and no pending request", got)
+		t.Errorf("report to a controller that is not the leader: got %+v, want status 421, ok true and no pending request", got)
 	}
 
 	done = report(time.Hour)
