--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,4 +1,5 @@
-// Package agent sends direct commands to the agents on the worker machines.
+// Package agent sends direct commands to workers. These are calls that the leader makes by
+// itself, as opposed to the orders in its replies to the workers' reports.
 package agent
 
 import (
@@ -14,7 +15,8 @@
 	"mulleinfall/internal/model"
 )
 
-// Client calls workers. Timeout bounds each call; Now is the monotonic clock of the core.
+// Client calls workers. Timeout bounds each call; Now is the monotonic clock of the core
+// (package core, which makes all decisions).
 type Client struct {
 	HTTP    *http.Client
 	Timeout time.Duration
@@ -30,7 +32,9 @@
 	Orders  []model.Order `json:"orders"`
 }
 
-// Do makes a call and returns its result. Status 0 means that the outcome is unknown.
+// Do makes a call and returns its result. Status 0 means that there was no response of
+// status 200 or 409 with a valid report: the command may have been executed, or may not
+// even have been sent.
 func (c *Client) Do(ctx context.Context, call core.AgentCall) core.AgentResult {
 	result := core.AgentResult{CallID: call.CallID}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -43,11 +47,11 @@
 	if err != nil {
 		return result
 	}
-	// Without GetBody the HTTP transport can't send a command a second time by itself: the
+	// With GetBody, the HTTP transport may send a command a second time by itself, and the
 	// core must know about every copy.
 	req.GetBody = nil
-	// The leader's right to act is checked last: it may have expired while this goroutine
-	// was not scheduled.
+	// SendBefore, when the leadership expires, is checked last: the leadership may have
+	// expired while this goroutine was not scheduled.
 	if c.Now() >= call.SendBefore {
 		return result
 	}
@@ -62,7 +66,7 @@
 	}
 	if resp.StatusCode == http.StatusOK || resp.StatusCode == http.StatusConflict {
 		var report model.Report
-		if json.Unmarshal(body, &report) == nil && report.Host != "" {
+		if json.Unmarshal(body, &report) == nil && report.Host != "" { // every report names its host
 			result.Status, result.Report = resp.StatusCode, &report
 		}
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -28,14 +28,14 @@
 	return strings.TrimPrefix(srv.URL, "http://"), sent
 }
 
-// newClient returns a client whose clock stands at now.
+// newClient returns a client whose clock always returns now.
 func newClient(now time.Duration) *Client {
 	return &Client{HTTP: http.DefaultClient, Timeout: 10 * time.Second, Now: func() time.Duration { return now }}
 }
 
-// TestCommands checks the request of a direct command and how each response to it is
-// understood. A response without a valid report of the worker must leave the outcome
-// unknown.
+// TestCommands checks the request of a direct command, and the result for each response
+// to it. Without a valid report of the worker, the result must have status 0, which means
+// that the outcome is unknown.
 func TestCommands(t *testing.T) {
 	report := `{"host":"n-000231","tenure":2,"tick":90,"epoch":41,"pieces":[{"piece":"req-000412/4","try":2,"phase":"pulling"}]}`
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 		{409, report, 409},  // the worker executed nothing, but its report is valid
 		{200, `{"ho`, 0},    // truncated: the outcome is unknown
 		{400, `{}`, 0},      // no report: the outcome is unknown
-		{502, `trouble`, 0}, // not a response of the worker
+		{502, `trouble`, 0}, // neither 200 nor 409: the outcome is unknown
 	} {
 		addr, sent := startFakeWorker(t, c.status, c.response)
 		result := newClient(0).Do(context.Background(), core.AgentCall{CallID: 3, Endpoint: addr, Epoch: 41, Session: 2, SendBefore: time.Second,
@@ -67,6 +67,6 @@
 func TestNothingIsSentAfterLeadershipExpired(t *testing.T) {
 	addr, sent := startFakeWorker(t, 200, `{}`)
 	if result := newClient(time.Second).Do(context.Background(), core.AgentCall{Endpoint: addr, SendBefore: time.Second}); result.Status != 0 || *sent != "" {
-		t.Errorf("got request %q, want none and a result with status 0", *sent)
+		t.Errorf("command after the leadership expired: got request %q, want none, and a result with status 0", *sent)
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,6 @@
 // Package cloud is a client of the cloud that machines are rented from. It makes the calls
-// that the core requests and returns their results.
+// that the core (package core, which makes all decisions) requests and returns their
+// results.
 package cloud
 
 import (
@@ -40,7 +41,8 @@
 	Hosts []string `json:"hosts"`
 }
 
-// Do makes a call and returns its result. Status 0 means that the outcome is unknown.
+// Do makes a call and returns its result. Status 0 means that there was no valid response:
+// the outcome is unknown.
 func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -83,7 +85,8 @@
 }
 
 // exchange sends a request, decodes the response of status 200 into result and returns
-// the status. An error means that the outcome of the call is unknown.
+// the status. After an error the caller must assume that the call may have been carried
+// out.
 func (c *Client) exchange(ctx context.Context, method, path string, body, result any) (int, error) {
 	var bodyReader io.Reader
 	if body != nil {
--- a/internal/direct/direct_linux.go
+++ b/internal/direct/direct_linux.go
@@ -3,9 +3,9 @@
 // package net waits until a socket is ready.
 //
 // When an idle process notifies the runtime of a system call, the runtime wakes its
-// monitor thread, which then polls about every 20 µs until the process is idle again. On
-// a controller that wakes up for each worker report, that took two fifths of all its
-// processor time.
+// monitor thread, which then polls about every 20 µs until the process is idle again.
+// Without this package, that takes two fifths of the processor time of a controller,
+// which wakes up for each worker report.
 package direct
 
 import (
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -32,8 +32,9 @@
 }
 
 // TestWrappedConnBehavesLikeOriginal checks that a wrapped connection behaves like any
-// other: it carries more than the buffers of a socket hold, waits for data, ends with
-// io.EOF and keeps its deadlines.
+// other: it carries more data than the buffers of a socket hold, waits for data, returns
+// io.EOF at the end, os.ErrDeadlineExceeded after its deadline and net.ErrClosed after
+// Close.
 func TestWrappedConnBehavesLikeOriginal(t *testing.T) {
 	wrapped, plain := connPair(t)
 	want := bytes.Repeat([]byte("0123456789abcdef"), 1<<18) // 4 MiB
--- a/internal/doc_test.go
+++ b/internal/doc_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 	}
-	if declarations < 500 {
+	if declarations < 500 { // the walk has missed files
 		t.Errorf("got %d declarations, want at least 500", declarations)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
 // Package peer carries messages between controllers, encoded as msgpack over one TCP
-// connection in each direction. Messages may be lost or late, which the core tolerates.
+// connection in each direction. Messages may be lost or late, which the core (package
+// core, which makes all decisions) tolerates.
 package peer
 
 import (
@@ -19,11 +20,11 @@
 	"mulleinfall/internal/direct"
 )
 
-// Limits of a connection, in bytes and messages. A frame contains at most the
-// description of a job (64 KiB, the longest submission) or the task counts of 1,000 jobs
-// (about 20 KiB). Messages beyond maxQueuedMessages for a slow or unreachable peer are
-// dropped: promises are requested again within a second, and changes also arrive through
-// the state service.
+// Limits of a connection, in bytes and messages. A frame is one encoded message. Long ones
+// contain the description of a job (64 KiB, the longest submission) or the task counts of
+// 1,000 jobs (about 20 KiB). Messages beyond maxQueuedMessages for a slow or unreachable
+// peer are dropped: promises (votes for a leader) are requested again within a second,
+// and changes of keys also arrive through the state service.
 const (
 	maxFrameBytes     = 1 << 20
 	maxQueuedMessages = 256
@@ -35,7 +36,7 @@
 	Msg  core.PeerMsg `msgpack:"m"`
 }
 
-// Link sends to one peer.
+// Link sends messages to one peer (another controller).
 type Link struct {
 	self, addr string
 	timeout    time.Duration
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestBadFramesEndTheConnection checks that an invalid frame is an error, which ends the
-// connection, and that no message of it is delivered.
+// TestBadFramesEndTheConnection checks that ReadFrames returns an error for an invalid
+// frame, which ends the connection, and delivers no message.
 func TestBadFramesEndTheConnection(t *testing.T) {
 	for name, frame := range map[string][]byte{
 		"too long":  {0xff, 0xff, 0xff, 0xff},
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -1,5 +1,6 @@
 // Package statestore is a client of the state service. It makes the calls that the core
-// requests and returns their results. It never retries: that is up to the core.
+// (package core, which makes all decisions) requests and returns their results. It never
+// retries: that is up to the core.
 package statestore
 
 import (
@@ -66,7 +67,8 @@
 	Changes       []wireChange       `json:"then"`
 }
 
-// Do makes a call and returns its result. Status 0 means that the outcome is unknown.
+// Do makes a call and returns its result. Status 0 means that there was no valid response:
+// the outcome is unknown.
 func (c *Client) Do(ctx context.Context, call core.StoreCall) core.StoreResult {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
@@ -138,8 +140,9 @@
 	return txn
 }
 
-// exchange sends a call and returns the status and the content of the response. An error
-// means that the outcome of the call is unknown.
+// exchange sends a call and returns the status and the content of the response, which is
+// empty if the body of a response other than 200 can't be decoded. After an error the
+// caller must assume that the call may have been carried out.
 func (c *Client) exchange(ctx context.Context, call core.StoreCall) (int, *wireResponse, error) {
 	encoded, err := encode(call)
 	if err != nil {
@@ -157,7 +160,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("request: %w", err)
 	}
-	// Without GetBody the HTTP transport can't send a change a second time by itself: the
+	// With GetBody, the HTTP transport may send a change a second time by itself, and the
 	// core must know about every copy.
 	req.GetBody = nil
 	resp, err := c.HTTP.Do(req)
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -21,7 +21,7 @@
 		status       int
 		response     string
 		want         core.StoreResult
-		wantItemKeys string
+		wantItemKeys string // each item as key@revision, with "-" before a removed key
 	}{
 		{core.StoreCall{Op: core.StoreList, Prefix: "c/", StartAfter: "c/7", Limit: 200}, "GET /keys?after=c%2F7&page=200&under=c%2F ", 200,
 			`{"items":[{"k":"c/8","value":{"x":1},"stamp":412}],"truncated":true,"ledgerRev":431}`,
--- a/internal/web/limit_test.go
+++ b/internal/web/limit_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestLimitedListenerClosesExcessConnections checks that connections beyond the limit are
-// closed at once, so that the other uses of the process find file descriptors, and that
-// the listener reports before that point that the limit is near.
+// closed at once, so that file descriptors are left for the rest of the process, and that
+// IsNearLimit reports it when three quarters of the limit are open.
 func TestLimitedListenerClosesExcessConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -2,11 +2,11 @@
 // requests. Requests are parsed by net/http and handled by an http.Handler; this
 // package contains the loop in between.
 //
-// It replaces http.Server, which used more processor time of a leader on a small
-// machine than scheduling did: for each request it starts a second goroutine and a
-// second read to detect that the client disconnects, and creates a context and three
-// timers. The handlers here don't use the context of a request, and they bound the work
-// for a client that has disconnected.
+// It replaces http.Server, which on a leader with few CPUs used more CPU time than
+// scheduling did: for each request, http.Server starts a second goroutine that reads from
+// the connection to detect that the client disconnects, and creates a context and three
+// timers. This server doesn't. So handlers must not use the context of a request, and
+// must limit the work for a client that may have disconnected.
 package web
 
 import (
@@ -25,40 +25,43 @@
 	"time"
 )
 
-// Limits of a connection. Most requests have a few hundred bytes, so that one read
+// Limits of a connection. Most requests are a few hundred bytes long, so that one read
 // gets a whole request. Longer bodies are read without the buffer.
 const (
 	readBufferBytes = 2 << 10
-	maxHeaderBytes  = 16 << 10
-	maxUnreadBytes  = 4 << 10 // if a handler leaves this much of a body unread, the connection is closed
+	maxHeaderBytes  = 16 << 10 // of a request's head: its request line and header fields
+	maxUnreadBytes  = 4 << 10  // if a handler leaves this much or more of a body unread, the connection is closed
 )
 
 // Server serves the connections of a listener. It handles one request at a time on
 // each connection.
 type Server struct {
 	Handler http.Handler
-	// Timeout bounds how long a connection may wait for its next request. At least
-	// half of it is available for receiving that request and sending the response.
+	// Timeout bounds how long a connection may wait for its next request and take to
+	// receive it and send the response. If the first byte of the request arrives in the
+	// second half of Timeout, the head must still be complete in time, but then Timeout
+	// counts again from that byte.
 	Timeout time.Duration
 
-	// admission is held by one request at a time, from when it is read until its
-	// handler has passed it to the core and calls AdmitNext. Without it, when hundreds
-	// of machines report at once on a slow processor, all reports are read and decoded
-	// before the one goroutine that runs the core is scheduled again, and a leader misses
-	// the renewals of its leadership.
+	// admission is held by one request at a time: from before it is parsed until its
+	// handler has passed it to the goroutine that runs the core (package core) and calls
+	// AdmitNext. Without this rule, a leader with a slow processor misses the renewals of
+	// its leadership when hundreds of machines report at once: all reports are decoded
+	// before the core's goroutine is scheduled again. Requests that arrive in pieces or
+	// don't fit in the buffer are exempt (see readRequest).
 	admission sync.Mutex
 }
 
 // AdmitNext tells the server of w that the handler has passed its request on. The
-// server admits the next request while this one waits for its reply.
+// server admits a request of another connection while this one waits for its reply.
 func AdmitNext(w http.ResponseWriter) {
 	if resp := responseOf(w); resp != nil {
 		resp.admitNext()
 	}
 }
 
-// ArrivedAt returns when the request that w responds to arrived, or the zero time if
-// that is not known.
+// ArrivedAt returns when the first byte of the request that w responds to arrived, or the
+// zero time if that is not known.
 func ArrivedAt(w http.ResponseWriter) time.Time {
 	if resp := responseOf(w); resp != nil {
 		return resp.arrivedAt
@@ -108,8 +111,8 @@
 	resp := &response{header: http.Header{}}
 	defer func() {
 		resp.admitNext()              // other requests may be waiting for admission
-		if r := recover(); r != nil { // a failing request must not end the process
-			slog.Error("handler failed", "panic", r, "stack", string(debug.Stack()))
+		if r := recover(); r != nil { // a panic of a handler must not end the process
+			slog.Error("handler panicked", "panic", r, "stack", string(debug.Stack()))
 		}
 	}()
 	head := &headReader{r: conn}
@@ -132,8 +135,8 @@
 		}
 		head.remaining = -1
 		if resp.arrivedAt.Sub(waitStartedAt) > s.Timeout/2 {
-			// The request came in the second half of the timeout: extend the deadline, so
-			// that there is time for its response.
+			// The first byte of the request arrived in the second half of the timeout:
+			// extend the deadline, so that there is time for the body and the response.
 			if conn.SetDeadline(resp.arrivedAt.Add(s.Timeout)) != nil {
 				return
 			}
@@ -163,8 +166,9 @@
 	}
 }
 
-// readRequest reads the next request. A request holds the admission only if it has
-// arrived completely, so that a slow client doesn't delay the others.
+// readRequest reads the head of the next request. The request holds the admission only if
+// its head and body are in the buffer of reader already, so that a slow client doesn't
+// delay the others.
 func (s *Server) readRequest(reader *bufio.Reader, resp *response) (*http.Request, error) {
 	if _, err := reader.Peek(1); err != nil {
 		return nil, err
@@ -185,7 +189,7 @@
 var headEnd = []byte("\r\n\r\n")
 
 // headReader bounds the size of the head of a request, which could otherwise fill the
-// memory.
+// memory. It doesn't bound the body.
 type headReader struct {
 	r         io.Reader
 	remaining int // bytes that may still be read; negative means no limit
@@ -221,7 +225,7 @@
 // response is the http.ResponseWriter of a connection. It sends a response in one
 // write, with its Content-Length.
 type response struct {
-	arrivedAt time.Time   // when the request arrived
+	arrivedAt time.Time   // when the first byte of the request arrived
 	admission *sync.Mutex // nil if this request doesn't hold it
 
 	header http.Header
@@ -273,8 +277,8 @@
 	return r.body.Write(b)
 }
 
-// reject responds with status to a request that no handler sees. The connection is
-// closed after the response.
+// reject prepares a response with status to a request that no handler sees. The
+// connection is closed after the response.
 func (r *response) reject(status int) {
 	r.reset(true)
 	r.WriteHeader(status)
--- a/internal/web/web_test.go
+++ b/internal/web/web_test.go
@@ -97,7 +97,7 @@
 		{"not an HTTP request", "what?\r\n\r\n", "400"},
 		{"no input", "", ""},
 		{"truncated request", "GET /a HTT", "400"},
-		{"too long head", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeaderBytes), "431"},
+		{"head too long", "GET /a" + host + "X: " + strings.Repeat("x", 2*maxHeaderBytes), "431"},
 		{"Expect: 100-continue", "POST /b" + host + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok", "100|202 POST /b ok"},
 		{"unknown expectation", "POST /b" + host + "Expect: tea\r\nContent-Length: 2\r\n\r\nok", "417"},
 	}
@@ -109,8 +109,8 @@
 }
 
 // TestRequestsAreAdmittedOneAtATime checks that a request waits until the handler of the
-// request before it calls AdmitNext, and not until that request has its response. Neither
-// a slow client nor a panicking handler delays other requests.
+// previous request has called AdmitNext, but doesn't wait for the response to the previous
+// request. Neither a slow client nor a panicking handler delays other requests.
 func TestRequestsAreAdmittedOneAtATime(t *testing.T) {
 	started, admit, finish := make(chan string, 4), make(chan bool), make(chan bool)
 	server := &Server{Timeout: time.Hour, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -156,7 +156,7 @@
 	finish <- true
 	for _, c := range []net.Conn{connOne, connTwo} {
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 200 {
-			t.Errorf("got response %v and error %v, want status 200", r, err)
+			t.Errorf("response to /one or /two: got %v and error %v, want status 200", r, err)
 		}
 	}
 }
@@ -184,8 +184,9 @@
 func (*brokenConn) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
 // TestLateRequestGetsTimeForItsResponse checks that a request that arrives shortly before
-// the timeout of its connection still has time for its response, and that an idle
-// connection is closed at its timeout.
+// the timeout of its connection still has time for its response: it arrives 9 s after the
+// start of a timeout of 10 s, and its handler takes 4 s. It also checks that an idle
+// connection is closed 10 s after its last response.
 func TestLateRequestGetsTimeForItsResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := &Server{Timeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -207,7 +208,8 @@
 	})
 }
 
-// wrappedWriter wraps a response writer, as handlers do.
+// wrappedWriter wraps a response writer, as middleware does. AdmitNext must find the
+// server's own writer through Unwrap.
 type wrappedWriter struct{ http.ResponseWriter }
 
 func (w wrappedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
