--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -32,7 +32,7 @@
 type FleetSettings struct {
 	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // how long an idle machine is kept, in multiples of its boot time
 	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // time for a rented machine's first report until it is given up, in multiples of its boot time
-	Patience      *float64 `hcl:"patience,optional"`       // share of a job's spare time (before it would miss its goal) to pass before more expensive machines are rented
+	Patience      *float64 `hcl:"patience,optional"`       // share of the time that a job can wait without missing its goal, after which more expensive machines are rented
 	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is reserved
 	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is reserved
 	MaxMachines   *int     `hcl:"max_machines,optional"`   // maximum number of machines; without it, as many as the cloud offers
