--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,17 +8,18 @@
 
 // Bounds of the platform's settings within which the service works.
 const (
-	minMemoryMB           = 24 // an idle process occupies about 20 MB of resident memory
-	minTxnOps             = 2  // a change, and the removal of a key that it makes obsolete
-	minValueKB            = 6
-	minNextValueKB        = 2   // a job's description and one part of a task bitmap still fit
-	minReportsPerLease    = 2   // worker reports during a lease
-	minReportsPerGangWait = 2   // worker reports while the tasks of a gang wait for one another
-	maxLeasesPerGangWait  = 100 // worker leases while the tasks of a gang wait for one another
+	minMemoryMB           = 24  // an idle process occupies about 20 MB of resident memory
+	minTxnOps             = 2   // a change, and the removal of a key that it makes obsolete
+	minValueKB            = 6   // one chunk of a job's bitmap of finished tasks (see package core) fits in one value
+	minNextValueKB        = 2   // a typical job description fits, and a chunk of a bitmap is split over several values
+	minReportsPerLease    = 2   // report intervals in a worker's lease
+	minReportsPerGangWait = 2   // report intervals in gang_wait_s
+	maxLeasesPerGangWait  = 100 // worker leases in gang_wait_s
 )
 
-// check validates all settings of the platform. Its error names the field and the
-// reason.
+// check validates the platform's settings. Its error names the field and the reason.
+// Load also checks that fd_limit is sufficient. Objectives need no check: addGoals
+// ignores those that it can't use.
 func (p *Platform) check() error {
 	for _, check := range []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkGangTimes, p.checkNextLimits, p.checkTeams} {
 		if err := check(); err != nil {
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// numericField is a number in the settings and its lower bound.
+// numericField is a number in the settings.
 type numericField struct {
 	field string
 	value float64
-	min   float64
+	min   float64 // inclusive lower bound, besides the check of the sign; 0: none
 }
 
 func (p *Platform) checkNumbers() error {
@@ -105,11 +106,12 @@
 }
 
 // checkGangTimes checks the two gang timeouts. They must be given together or not
-// at all; without them, gangs are refused.
+// at all; without them, the service refuses jobs that are gangs (tasks that only run
+// together).
 func (p *Platform) checkGangTimes() error {
 	workers := &p.Params.Workers
-	const wait, peer = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
-	for _, number := range []numericField{{field: wait, value: workers.GangWaitS}, {field: peer, value: workers.GangPeerS}} {
+	const waitField, peerField = "facts.workers.gang_wait_s", "facts.workers.gang_peer_s"
+	for _, number := range []numericField{{field: waitField, value: workers.GangWaitS}, {field: peerField, value: workers.GangPeerS}} {
 		if !(number.value >= 0) || math.IsInf(number.value, 0) {
 			return fmt.Errorf("%s: %v is below 0", number.field, number.value)
 		}
@@ -118,15 +120,15 @@
 	case workers.GangWaitS == 0 && workers.GangPeerS == 0:
 		return nil
 	case workers.GangWaitS == 0:
-		return fmt.Errorf("%s: missing beside gang_peer_s", wait)
+		return fmt.Errorf("%s: missing beside gang_peer_s", waitField)
 	case workers.GangPeerS == 0:
-		return fmt.Errorf("%s: missing beside gang_wait_s", peer)
+		return fmt.Errorf("%s: missing beside gang_wait_s", peerField)
 	case workers.GangWaitS < minReportsPerGangWait*workers.ReportS:
-		return fmt.Errorf("%s: %v is less than two reports", wait, workers.GangWaitS)
+		return fmt.Errorf("%s: %v is less than two reports", waitField, workers.GangWaitS)
 	case workers.GangWaitS > maxLeasesPerGangWait*workers.LeaseS:
-		return fmt.Errorf("%s: %v is more than %d leases", wait, workers.GangWaitS, maxLeasesPerGangWait)
+		return fmt.Errorf("%s: %v is more than %d leases", waitField, workers.GangWaitS, maxLeasesPerGangWait)
 	case workers.GangPeerS > workers.LeaseS:
-		return fmt.Errorf("%s: %v is longer than lease_s", peer, workers.GangPeerS)
+		return fmt.Errorf("%s: %v is longer than lease_s", peerField, workers.GangPeerS)
 	}
 	return nil
 }
