--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -14,9 +14,9 @@
 	sim                 *Simulation
 	Name                string
 	index               int
-	incarnation         int                         // changes with each start and crash
+	incarnation         int                         // counts starts and crashes; events scheduled before the last one are dropped
 	State               *core.State                 // nil while the process is down
-	pendingRequests     map[uint64]func(core.Reply) // by request id
+	pendingRequests     map[uint64]func(core.Reply) // handlers of the replies, by request id
 	lastRequest         uint64                      // id of the last request received
 	StartCount          int
 	paused              *pausedWork // nil unless the process is paused
@@ -26,7 +26,7 @@
 	StepDuration    time.Duration
 	busyUntil       time.Duration // when all queued steps are complete
 	clockDrift      float64       // relative error of the monotonic clock
-	wallClockOffset float64       // constant error of the wall clock, as a fraction of MaxClockSkew
+	wallClockOffset float64       // constant part of the wall clock's error, -0.7 to 0.7 times MaxClockSkew
 }
 
 // IsRunning reports whether the process runs.
@@ -118,8 +118,9 @@
 	if c.incarnation != incarnation || c.State == nil {
 		return
 	}
-	// The error of the wall clock varies around its constant part, but stays within
-	// MaxClockSkew.
+	// The error of the wall clock varies by up to 0.3 times MaxClockSkew around its
+	// constant part, so that it stays within MaxClockSkew. At the start of the simulation
+	// the wall clock shows 1e9 ms, for users as well.
 	offsetS := (c.wallClockOffset + 0.3*math.Sin(c.sim.Now.Seconds()/17+float64(c.index))) * c.sim.Options.Config.MaxClockSkew.Seconds()
 	c.Step(core.Tick{WallMs: c.sim.Now.Milliseconds() + 1e9 + int64(1000*offsetS)})
 	c.sim.After(50*time.Millisecond, func() { c.tick(incarnation) })
@@ -148,8 +149,8 @@
 	})
 }
 
-// process passes an event to the core and applies the resulting effects. In a
-// pause it keeps the event for later.
+// process passes an event to the core and applies the resulting effects. Once a pause
+// has taken effect (see Pause), it keeps events for later instead and drops ticks.
 func (c *Controller) process(ev core.Event) {
 	if p := c.paused; p != nil && p.inStep {
 		if _, tick := ev.(core.Tick); !tick { // a time.Ticker drops ticks that are not received in time
@@ -293,8 +294,9 @@
 }
 
 // sendRequest sends a request to the controller and passes the reply to handleReply.
-// The reply is empty if the process is down, and becomes 503 if the controller's right
-// to send it has expired. newEvent creates the event from the request id.
+// The reply is empty if the process is down when the request arrives, and becomes 503 if
+// the controller's right to send it has expired. There is none if the process crashes
+// before it replies. newEvent creates the event from the request id.
 func (c *Controller) sendRequest(from string, newEvent func(uint64) core.Event, handleReply func(core.Reply)) {
 	sim := c.sim
 	sim.send(from, c.Name, func() {
@@ -328,8 +330,8 @@
 	return found
 }
 
-// deliverReportsToNextLeader checks every 10 ms whether another controller leads than
-// before. If so, it sends the reports kept for that moment to every controller.
+// deliverReportsToNextLeader checks every 10 ms whether the leader is another controller
+// than the last one. If so, it sends the reports kept for that moment to every controller.
 func (s *Simulation) deliverReportsToNextLeader() {
 	if leader := s.Leader(); leader != nil && leader != s.lastLeader {
 		s.lastLeader = leader
--- a/internal/sim/event_queue.go
+++ b/internal/sim/event_queue.go
@@ -5,11 +5,11 @@
 // event is a function that runs at a point of virtual time.
 type event struct {
 	at  time.Duration
-	seq uint64 // orders events of the same time as they were queued
+	seq uint64 // events of the same time run in the order in which they were queued
 	run func()
 }
 
-// eventQueue is a heap of events by time. It implements heap.Interface.
+// eventQueue is a heap of events, the next one first. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// This file simulates the network between all hosts.
+// This file simulates the network between all hosts. A host is identified by the name of a
+// controller, the endpoint of a worker, "state", "cloud" or "users".
 
 // link is one direction of the network between two hosts.
 type link struct {
@@ -11,7 +12,8 @@
 }
 
 // Cut interrupts the network between two hosts in both directions. Mode "drop"
-// loses messages; mode "hold" delivers them after Heal.
+// loses messages; mode "hold" delivers them after Heal. Messages that were sent before
+// the cut still arrive.
 func (s *Simulation) Cut(a, b, mode string) {
 	s.link(a, b).mode = mode
 	s.link(b, a).mode = mode
@@ -56,8 +58,8 @@
 	}
 }
 
-// maybeRepeat runs f for a fraction RepeatFraction of its calls, after 1 s plus a
-// random time of up to three leases. f carries a request out a second time.
+// maybeRepeat runs f with the probability RepeatFraction, after 1 s plus a random time of
+// up to three leases. f carries a request out a second time.
 func (s *Simulation) maybeRepeat(f func()) {
 	if s.RepeatFraction > 0 && s.Rand.Float64() < s.RepeatFraction {
 		s.After(time.Second+time.Duration(s.Rand.Int64N(int64(3*s.Options.Config.Lease))), f)
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -25,7 +25,7 @@
 	// Config is the configuration of every controller. Controller.Start sets Self,
 	// Peers and Incarnation.
 	Config core.Config
-	// RestartDelay is the time from a crash of a controller to its next start.
+	// RestartDelay is the time from Controller.Crash to the next start of the process.
 	RestartDelay time.Duration
 	// ListLag is how old the cloud's list of machines is.
 	ListLag time.Duration
@@ -35,9 +35,9 @@
 	// WorkerStepInterval is the time between two steps of a worker, in which it
 	// advances its tasks and reports. 0 means 20 ms.
 	WorkerStepInterval time.Duration
-	// ConfigurePreviousVersion, if set, makes all controllers start with the previous
-	// version. It changes a controller's copy of Config to what that version makes of
-	// the same settings.
+	// ConfigurePreviousVersion, if set, makes all controllers run the previous version of
+	// the software at first. It changes a controller's copy of Config to what that version
+	// makes of the same settings.
 	ConfigurePreviousVersion func(*core.Config)
 	// Tamper, if set, can replace the effects of a controller. Tests use it to break
 	// the service on purpose or to observe the effects.
@@ -64,17 +64,17 @@
 	LateReportCopyFraction float64
 	// RepeatFraction is the fraction of requests that are carried out a second time
 	// later: commands, calls to the state service and the cloud, messages between
-	// controllers, and users' submissions and cancellations. The answer to the second
+	// controllers, and users' submissions and cancellations. Any answer to the second
 	// one is dropped.
 	RepeatFraction float64
 
 	// LateCommandFraction is the fraction of direct commands that the network delays
-	// by 2 to 16 s. They get no answer. The worker carries them out once, if epoch and
-	// session still match.
+	// by 2 to 16 s. They get no answer. The worker carries them out once, unless it has a
+	// higher epoch or another session by then.
 	LateCommandFraction float64
 
 	// NextStartRefusal, if not empty, is the cause with which the next start of a task
-	// is refused, on whichever machine. RefusedStarts counts such refusals.
+	// is refused, on any machine. RefusedStarts counts such refusals.
 	NextStartRefusal string
 	RefusedStarts    int
 
@@ -84,8 +84,8 @@
 	reportsForNextLeader   []model.Report
 	lastLeader             *Controller // the leader that was last observed
 
-	// OnPreviousVersion holds, by name, whether a controller runs the previous version
-	// from its next start on.
+	// OnPreviousVersion holds, by name, whether a controller runs the previous version of
+	// the software from its next start on.
 	OnPreviousVersion map[string]bool
 
 	links        map[[2]string]*link // by sender and receiver
@@ -93,8 +93,8 @@
 	TraceEnabled bool                // whether Trace is recorded
 }
 
-// DefaultOptions returns the options of a small deployment: three controllers in three
-// zones.
+// DefaultOptions returns the options of a small deployment: three controllers, and
+// machines of one type in three zones.
 func DefaultOptions(seed uint64) Options {
 	zones := []string{"a", "b", "c"}
 	return Options{
@@ -143,7 +143,7 @@
 // After schedules f to run after the duration d.
 func (s *Simulation) After(d time.Duration, f func()) { s.At(s.Now+d, f) }
 
-// RunUntil runs all events up to time t and sets the clock to t.
+// RunUntil runs all events up to and including time t and sets the clock to t.
 func (s *Simulation) RunUntil(t time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= t {
 		e := heap.Pop(&s.queue).(event)
--- a/internal/sim/store.go
+++ b/internal/sim/store.go
@@ -18,25 +18,26 @@
 	changeLog     []core.Item // all changes in the order of their revisions, for watches
 	leases        map[uint64]*lease
 	lastLeaseID   uint64
-	Unavailable   bool            // outage: every controller gets 503
-	UnavailableTo map[string]bool // controllers that get 503 while others are served
-	// ReplayDelay, if set, makes each transaction be applied a second time this much
-	// later. It has no effect while MaxExtraLatency is set.
+	Unavailable   bool            // outage: calls of all controllers get 503, but blocking watches get no answer
+	UnavailableTo map[string]bool // controllers to which this happens while others are served
+	// ReplayDelay, if set, makes each answered transaction be applied a second time this
+	// much later. It has no effect while MaxExtraLatency is set.
 	ReplayDelay time.Duration
 	// UnansweredFraction is the fraction of transactions that get no answer. They are
-	// applied 2 to 12 s later, after newer ones, or at once with
-	// ApplyUnansweredAtOnce.
+	// applied 2 to 12 s later, so that newer transactions may be applied before them. If
+	// ApplyUnansweredAtOnce is set, they are applied at once.
 	UnansweredFraction    float64
 	ApplyUnansweredAtOnce bool
 	// MaxValueBytes limits the size of a value, MaxTxnChanges the changes of a
-	// transaction and MaxWritesPerSecond the changes per second. 0 means no limit.
-	// RefusedTooLarge counts the transactions refused by the first two limits,
-	// RefusedRateLimited those refused by the third.
+	// transaction and MaxWritesPerSecond the changes per second (see checkLimits). 0
+	// means no limit. RefusedTooLarge counts the transactions refused by the first two
+	// limits, RefusedRateLimited those refused by the third.
 	MaxValueBytes, MaxTxnChanges, MaxWritesPerSecond int
 	RefusedTooLarge, RefusedRateLimited              int
-	recentWrites                                     []time.Duration // time of each change in the last second
-	// MaxExtraLatency, if set, delays each call that is applied and answered by a random
-	// time up to it. Blocking watches are not delayed.
+	recentWrites                                     []time.Duration // time of each change of the last second that was within the limits
+	// MaxExtraLatency, if set, makes each call be applied and answered only after a random
+	// delay below it. Excluded are blocking watches, calls that get 503 and transactions
+	// that get no answer.
 	MaxExtraLatency time.Duration
 	watches         []*watch // watch calls that wait for a change
 	TxnCount        int      // transactions applied or refused by transact, repeated ones included
@@ -52,10 +53,11 @@
 // lease is a lease of the state service. Its keys are removed when it ends.
 type lease struct {
 	duration time.Duration
-	endsAt   time.Duration
+	endsAt   time.Duration // unless it is renewed before
 }
 
-// watch is a watch call that blocks until there is a change or its time is up.
+// watch is a watch call that blocks until there is a change or its time is up. See
+// answerWatch for watches during an outage.
 type watch struct {
 	call       core.StoreCall
 	reply      func(core.StoreResult)
@@ -64,7 +66,7 @@
 }
 
 // newStore creates an empty store that checks every 50 ms for expired leases. Leases
-// don't expire during an outage.
+// don't expire while Unavailable is set.
 func newStore(sim *Simulation) *Store {
 	s := &Store{sim: sim, items: map[string]*storedValue{}, leases: map[uint64]*lease{}, UnavailableTo: map[string]bool{}}
 	var expire func()
@@ -134,7 +136,8 @@
 	}
 }
 
-// answerWatches answers all watches that have changes to report, and forgets them.
+// answerWatches answers all watches for which there are changes, and removes those that
+// are answered.
 func (s *Store) answerWatches() {
 	for _, pending := range s.watches {
 		s.answerWatch(pending, false)
@@ -148,10 +151,12 @@
 	s.watches = kept
 }
 
-// answerWatch answers a watch if there are changes for it or its time is up.
+// answerWatch answers a watch if there are changes for it or its time is up. During an
+// outage it leaves the watch open. If the time is up then, the watch is answered by the
+// first answerWatches after the outage that finds a change for it.
 func (s *Store) answerWatch(pending *watch, timeUp bool) {
 	if pending.done || s.Unavailable || s.UnavailableTo[pending.controller] {
-		return // watches stay open during an outage
+		return
 	}
 	result := s.apply(core.StoreCall{CallID: pending.call.CallID, Op: core.StoreWatch, Prefix: pending.call.Prefix, AfterRevision: pending.call.AfterRevision})
 	if len(result.Items) > 0 || timeUp {
@@ -184,8 +189,8 @@
 	return result
 }
 
-// list adds the items with the call's prefix to the result in lexical order of their
-// keys, up to the limit of the call.
+// list adds the items with the call's prefix and after its start key to the result, in
+// lexical order of their keys, up to the limit of the call.
 func (s *Store) list(call core.StoreCall, result *core.StoreResult) {
 	keys := sortedKeys(s.items)
 	for i := sort.SearchStrings(keys, call.Prefix); i < len(keys) && strings.HasPrefix(keys[i], call.Prefix); i++ {
@@ -268,7 +273,8 @@
 
 // checkLimits returns the status for a transaction: 400 if it is too large, 429 if it
 // exceeds the rate limit, or 200. The number of preconditions may be up to four
-// times MaxTxnChanges.
+// times MaxTxnChanges. Changes within the limits count for the rate even if the
+// transaction fails later.
 func (s *Store) checkLimits(call core.StoreCall) int {
 	isTooLarge := s.MaxTxnChanges > 0 && (len(call.Changes) > s.MaxTxnChanges || len(call.Preconditions) > 4*s.MaxTxnChanges)
 	for _, change := range call.Changes {
@@ -284,7 +290,8 @@
 	for len(s.recentWrites) > 0 && s.recentWrites[0] < s.sim.Now-time.Second {
 		s.recentWrites = s.recentWrites[1:]
 	}
-	// A burst of one more second's worth of changes is allowed.
+	// Any second may have twice MaxWritesPerSecond changes: one second's worth of them
+	// and a burst of as many.
 	if len(s.recentWrites)+len(call.Changes) > 2*s.MaxWritesPerSecond {
 		s.RefusedRateLimited++
 		return 429
