--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -15,29 +15,37 @@
 	stopped     bool // the machine no longer exists
 	Paused      bool
 	// CannotReceive is set while neither commands nor answers to its reports reach the
-	// worker. Its reports reach the controllers.
+	// worker. Its reports reach the controllers. The worker waits for each answer until
+	// its timeout.
 	CannotReceive bool
-	// CannotReport is set while the worker's reports reach no controller. Commands
-	// reach the worker.
+	// CannotReport is set while the worker's reports reach no controller, which it notices
+	// at once. Commands reach the worker.
 	CannotReport bool
-	// ReportAnswersLost is set while answers to the worker's reports don't reach it.
-	// Commands do.
+	// ReportAnswersLost is set while answers to the worker's reports are lost. The worker
+	// notices the loss when the answer would have arrived, as if the connection broke.
+	// Its reports reach the controllers, and commands reach the worker.
 	ReportAnswersLost bool
 
 	reclaimAt time.Duration // when the cloud reclaims the machine; 0: no notice given
 
+	// session is raised when the lease expires. seq is the sequence number of the last
+	// report, which the worker sent by itself or in the answer to a command. epoch is the
+	// highest epoch received so far; commands and answers with a lower one are refused.
 	session, seq, epoch uint64
 	leaseStartedAt      time.Duration // when the report that renewed the lease was sent, or the session began
 	tasks               map[string]*taskRun
 	images              map[string]bool // images in the cache
 	targetController    int             // index of the controller that gets the next report
-	reportInFlight      int             // number of the report that waits for its answer; 0: none
-	reportCount         int
-	nextReportAt        time.Duration
-	hasChanges          bool // there is something to report before the regular report is due
-	lastReportAt        time.Duration
-	delayedCommands     []func()      // commands received while paused
-	epochChangeAt       time.Duration // when a higher epoch last triggered a report
+	// reportCount numbers the reports that the worker sends by itself, so that it recognizes
+	// their answers. reportInFlight is the number of the one whose answer it waits for
+	// (0: none).
+	reportInFlight  int
+	reportCount     int
+	nextReportAt    time.Duration // when the next report is due, if there are no changes
+	hasChanges      bool          // there is something to report before nextReportAt
+	lastReportAt    time.Duration
+	delayedCommands []func()      // commands received while paused
+	epochChangeAt   time.Duration // when a higher epoch last triggered a report; 0: not yet
 }
 
 // taskRun is one attempt of a task on a machine.
@@ -46,7 +54,7 @@
 	state     string
 	cause     string        // why it exited
 	saved     bool          // it exited after saving a checkpoint
-	endsAt    time.Duration // end of the current state
+	endsAt    time.Duration // when fetching, running or saving ends
 	startedAt time.Duration // when its image was complete
 }
 
@@ -70,8 +78,9 @@
 	delete(wk.sim.Workers, wk.info.Endpoint)
 }
 
-// Pause pauses the machine for d. Its tasks take that much longer. The machine then
-// resumes with the commands that have arrived.
+// Pause pauses the machine for d. If its lease expires meanwhile, its tasks end, otherwise
+// they take that much longer. When the machine resumes, it first handles the commands that
+// have arrived during the pause.
 func (wk *Worker) Pause(d time.Duration) {
 	wk.Paused = true
 	wk.sim.tracef("machine %s is paused", wk.info.Host)
@@ -128,7 +137,8 @@
 }
 
 // advanceTasks changes the states of tasks whose time has come: images are complete,
-// tasks end, checkpoints are saved.
+// tasks end, checkpoints are saved. A task whose work an earlier attempt has completed has
+// nothing left to do and exits as soon as it has started.
 func (wk *Worker) advanceTasks() {
 	for _, name := range sortedKeys(wk.tasks) {
 		run := wk.tasks[name]
@@ -187,8 +197,8 @@
 }
 
 // handleCommands carries out the orders of a direct command and answers with a report.
-// It refuses the orders if the epoch is lower than the worker's or the session differs.
-// A paused machine does this when it resumes.
+// It refuses the orders with 409 if the epoch is lower than the worker's or the session
+// differs. A paused machine does this when it resumes.
 func (wk *Worker) handleCommands(call core.AgentCall, reply func(core.AgentResult)) {
 	handle := func() {
 		if wk.stopped {
@@ -216,8 +226,9 @@
 }
 
 // raiseEpoch applies the epoch of an answer or command. A higher epoch triggers a
-// report of its own, but at most once per half lease (PROTOCOL). If the leader changes
-// more often, the next regular report shows the latest epoch.
+// report before the regular one, but at most once per half lease, as the protocol
+// requires. If the leader changes more often, the next regular report shows the latest
+// epoch.
 func (wk *Worker) raiseEpoch(epoch uint64) {
 	if epoch <= wk.epoch {
 		return
@@ -229,7 +240,8 @@
 }
 
 // Restart restarts the worker process at once under the same name. Its tasks end, and
-// its session, report sequence and epoch start again from their first values.
+// its session, sequence number and epoch are those of a worker that starts for the first
+// time. The cached images remain.
 func (wk *Worker) Restart() {
 	wk.sim.tracef("worker on %s restarts", wk.info.Host)
 	for _, name := range sortedKeys(wk.tasks) {
@@ -238,7 +250,9 @@
 	wk.tasks = map[string]*taskRun{}
 	wk.session, wk.seq, wk.epoch, wk.epochChangeAt = 1, 0, 0, 0
 	wk.leaseStartedAt, wk.hasChanges = wk.sim.Now, true
-	wk.reportCount++ // an answer to a report of the previous process is dropped
+	// An answer to a report of the previous process is dropped, since the worker waits for
+	// none now and no later report gets the same number.
+	wk.reportCount++
 	wk.reportInFlight, wk.delayedCommands = 0, nil
 	wk.targetController = wk.sim.Rand.IntN(len(wk.sim.Controllers))
 }
@@ -292,8 +306,9 @@
 	wk.tasks[order.Task] = run // uses capacity from now on
 }
 
-// killTask stops a task. A task with checkpoints saves one first if the grace period
-// is long enough.
+// killTask stops a task. A running task with checkpoints saves one first if the order gives
+// a grace period that is long enough. An order without a grace period lets a task that is
+// saving go on.
 func (wk *Worker) killTask(order model.Order, run *taskRun) {
 	job := wk.sim.Checker.jobOf(order.Task)
 	if job.spec.Kind == model.KindGang && run.state != model.TaskFetching {
--- a/internal/sim/worker_reports.go
+++ b/internal/sim/worker_reports.go
@@ -26,8 +26,8 @@
 }
 
 // sendReport sends a report to the current target controller. The next one is due after
-// 0.75 to 1.25 report intervals. Without an answer within 4 s the worker turns to the
-// next controller.
+// 0.75 to 1.25 report intervals. If there is no answer within 4 s, or if the report or its
+// answer is known to be lost, the worker turns to the next controller.
 func (wk *Worker) sendReport() {
 	sim := wk.sim
 	wk.hasChanges = false
@@ -64,9 +64,10 @@
 	})
 }
 
-// scheduleReportCopies makes copies of a report arrive later, for the fractions of
-// reports that are set in the simulation. A late copy reaches a random controller after
-// 1 s plus up to three leases.
+// scheduleReportCopies copies a report with two probabilities. With
+// LateReportCopyFraction, a copy reaches a random controller after 1 s plus up to three
+// leases. With NextLeaderCopyFraction, a copy is kept until the next leader takes over and
+// then reaches every controller.
 func (wk *Worker) scheduleReportCopies(report model.Report) {
 	sim := wk.sim
 	if sim.LateReportCopyFraction > 0 && sim.Rand.Float64() < sim.LateReportCopyFraction {
@@ -83,7 +84,8 @@
 // nextController returns the index of the controller after the current target.
 func (wk *Worker) nextController() int { return (wk.targetController + 1) % len(wk.sim.Controllers) }
 
-// retargetAfter makes the worker send its next report to the target after the delay.
+// retargetAfter ends the wait for an answer and makes the worker send its next report to
+// the target after the delay, or earlier if it has changes to report.
 func (wk *Worker) retargetAfter(delay time.Duration, target int) {
 	wk.reportInFlight = 0
 	wk.targetController = target
@@ -91,9 +93,10 @@
 }
 
 // handleReportReply handles the answer to a report. 200 renews the lease and carries
-// orders; the worker ignores it if the report was of an earlier session, or if its epoch
-// is 0 or lower than the worker's. If 421 names another controller as the leader, the
-// worker turns to it within 500 ms. On any other answer it turns to the next controller.
+// orders; the worker ignores the answer if the report was of an earlier session, or if the
+// answer's epoch is 0 or lower than the worker's. If the answer is 421 and names another
+// controller as the leader, the worker reports to that one within 500 ms. On any other
+// answer it reports to the next controller after 1 s.
 func (wk *Worker) handleReportReply(controller *Controller, sentAt time.Duration, session uint64, reply core.Reply) {
 	sim := wk.sim
 	switch reply.Status {
