--- a/internal/sim/bench_test.go
+++ b/internal/sim/bench_test.go
@@ -8,9 +8,11 @@
 	"mulleinfall/internal/core"
 )
 
-// BenchmarkSteadyMinute measures the cost of the leader's decisions in a minute with many
-// tasks running: reports, dispatch rounds and ticks, without the network layers. Scale 1
-// is about the size of the deployments in service, scale 10 has ten times their tasks.
+// BenchmarkSteadyMinute measures a minute of virtual time with many tasks running: the
+// leader's work on reports, dispatch rounds and ticks, but also the steps of the other
+// controllers and the simulation around them, without the network layers of the real
+// service. Scale 1 is about the size of the deployments in service, scale 10 has ten times
+// their tasks.
 func BenchmarkSteadyMinute(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
@@ -45,7 +47,7 @@
 }
 
 // BenchmarkReport measures what it costs the leader to handle and answer a worker's
-// report.
+// report, with the creation of the report.
 func BenchmarkReport(b *testing.B) {
 	for _, scale := range []int{1, 10} {
 		b.Run(fmt.Sprintf("scale%d", scale), func(b *testing.B) {
--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -35,7 +35,9 @@
 
 // cancelScenarios are scenarios in which a machine gets an answer, and with it a renewed
 // lease, later than cancel_s - lease_s after the cancellation was confirmed to the user.
-// Nothing after that answer tells the machine of the cancellation.
+// Nothing after that answer tells the machine of the cancellation. The setting cancel_s
+// is the time within which the tasks of a cancelled job must be gone (CancelWithin),
+// lease_s is the duration of a worker's lease.
 var cancelScenarios = []struct {
 	name            string
 	machinesPerZone int
@@ -51,8 +53,8 @@
 }
 
 // pauseOnceAnswered prevents any election until a renewed lease of the machine would
-// last longer than CancelWithin allows. It then pauses the machine as soon as a leader
-// has answered it.
+// last longer than CancelWithin allows. It then pauses the machine, for longer than its
+// lease, as soon as a leader has answered it.
 func pauseOnceAnswered(scenario *cancelScenario) {
 	config := scenario.Options.Config
 	scenario.LateCommandFraction = 1
--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -15,7 +15,7 @@
 	jobs map[string]*jobRecord
 	// Violations are the violations found, each with its time, rule and details.
 	Violations []string
-	TaskStarts int
+	TaskStarts int // tasks that have started; a gang's task counts from gathering on
 	JobsDone   int // jobs that were confirmed as done
 	// StartsAfterCancellation counts tasks that started after the cancellation of their
 	// job was confirmed to its user.
@@ -31,20 +31,20 @@
 // jobRecord records what really happened to a job.
 type jobRecord struct {
 	spec               model.Job
-	runTime            time.Duration
+	runTime            time.Duration // run time of the first task, or of a gang
 	runTimeStep        time.Duration // how much longer each task runs than the one before
-	accepted           bool
+	accepted           bool          // a submission was answered with 200 or 201
 	acceptedAt         time.Duration
 	savedProgress      time.Duration // of a gang: progress in its last checkpoint
 	gangAttempts       map[uint64]*gangAttempt
-	waitedWithCapacity time.Duration      // how long it has waited although there is capacity for it
+	waitedWithCapacity time.Duration      // how long it has waited without interruption although there is capacity for it
 	submittedAt        time.Duration      // first submission
 	firstStartedAt     time.Duration      // first start of a task; 0: none yet
 	cancelRequested    bool               // its user has requested its cancellation
 	doneTasks          map[string]bool    // tasks that have completed
-	runningOn          map[string]*Worker // machines of the tasks on machines, by task name
+	runningOn          map[string]*Worker // machines of the tasks that have started (see taskStarted), by task name
 	confirmedDone      bool               // its user was told that it is done
-	endConfirmedAt     time.Duration      // when its user was first told that it is done or cancelled
+	endConfirmedAt     time.Duration      // when its user was first told that it is done or cancelled; 0: not yet
 	cancelConfirmedAt  time.Duration      // when its user was first told that it is cancelled; 0: not yet
 }
 
@@ -69,7 +69,7 @@
 }
 
 // taskStarted records that a task has started on a machine, and checks that it may run
-// there and now.
+// there and now. A gang's task counts as started when it begins to gather.
 func (c *Checker) taskStarted(task string, wk *Worker, run *taskRun) {
 	job := c.jobOf(task)
 	c.TaskStarts++
@@ -112,7 +112,7 @@
 	c.checkQuota(spec.Team)
 }
 
-// checkQuota checks that a team's running tasks are within its limit.
+// checkQuota checks that a team's started tasks are within its limit of CPUs.
 func (c *Checker) checkQuota(team string) {
 	limit := c.sim.Options.Config.Teams[team].Limit
 	if limit.CPUs == 0 {
@@ -129,7 +129,7 @@
 	}
 }
 
-// taskStopped records that a task has left a machine.
+// taskStopped records that a task has left a machine or exited there.
 func (c *Checker) taskStopped(task string, wk *Worker, run *taskRun) {
 	if job := c.jobOf(task); job != nil && job.runningOn[task] == wk {
 		delete(job.runningOn, task)
@@ -177,7 +177,7 @@
 	}
 }
 
-// checkDone checks that a job is really done when its user is told so.
+// checkDone checks that all tasks of a job that is reported as done have completed.
 func (c *Checker) checkDone(job *jobRecord) {
 	if len(job.doneTasks) < job.spec.Tasks {
 		c.reportViolation("not_done", "%s is reported done with %d of %d tasks done", job.spec.ID, len(job.doneTasks), job.spec.Tasks)
--- a/internal/sim/check_liveness.go
+++ b/internal/sim/check_liveness.go
@@ -7,8 +7,8 @@
 	"mulleinfall/internal/model"
 )
 
-// This file checks progress besides safety: that all jobs are run and all requests are
-// answered.
+// This file checks progress, where check.go checks safety: that all jobs are run and all
+// requests are answered.
 
 // maxWaitWithCapacity is how long a job may wait after the end of the faults while a
 // machine has capacity for it. The operators have added this bound to the protocol.
@@ -32,7 +32,8 @@
 }
 
 // canStart reports whether a waiting task of the job could be placed on a machine now.
-// For a gang, all its tasks must fit at once.
+// For a gang, all its tasks must fit on the machines at once, but the team's limit is
+// checked for one task only.
 func (c *Checker) canStart(job *jobRecord) bool {
 	spec := &job.spec
 	waiting, usedCPUs, tasksInZone := c.placement(job)
@@ -62,7 +63,8 @@
 }
 
 // placement returns how many tasks of the job wait for a machine, the CPUs that its team
-// uses, and how many of the job's tasks are on machines in each zone.
+// uses, and how many of the job's tasks are on machines in each zone. Tasks that fetch
+// their image count as on a machine.
 func (c *Checker) placement(job *jobRecord) (waiting int, usedCPUs float64, tasksInZone map[string]int) {
 	waiting, tasksInZone = job.spec.Tasks-len(job.doneTasks), map[string]int{}
 	for task, wk := range job.runningOn {
@@ -88,7 +90,8 @@
 	return waiting, usedCPUs, tasksInZone
 }
 
-// acceptsTasks reports whether the machine can be reached and is not being reclaimed.
+// acceptsTasks reports whether the machine is not paused or being reclaimed, commands
+// reach it, and its reports reach the controllers.
 func (wk *Worker) acceptsTasks() bool {
 	return !wk.Paused && !wk.CannotReceive && !wk.CannotReport && wk.reclaimAt == 0
 }
@@ -127,7 +130,7 @@
 // CheckServed checks at the end of a run that at least half of the accepted, uncancelled
 // jobs have started in every class, in every team and among the largest jobs of each
 // class, which are those with the most tasks. It also checks that each of the largest
-// jobs started within maxStartDelay.
+// jobs started within maxStartDelay of its submission. A job starts with its first task.
 func (c *Checker) CheckServed() {
 	type tally struct{ jobs, started int }
 	tallies := map[string]*tally{}
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -9,8 +9,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// editOrders applies f to the orders in an effect, whether the controller sends them in
-// a reply to a report or in a direct command.
+// editOrders returns an effect with f applied to its orders, whether the controller sends
+// them in a reply to a report or in a direct command.
 func editOrders(e core.Effect, f func([]model.Order) []model.Order) core.Effect {
 	switch e := e.(type) {
 	case core.Reply:
@@ -26,7 +26,8 @@
 	return e
 }
 
-// editJobStatus applies f to the job status in a reply to a user.
+// editJobStatus returns an effect with f applied to the job status if it is a reply with
+// status 200 to a user.
 func editJobStatus(e core.Effect, f func(core.JobStatus) core.JobStatus) core.Effect {
 	if r, ok := e.(core.Reply); ok {
 		if status, ok := r.Body.(core.JobStatus); ok && r.Status == 200 {
@@ -123,7 +124,7 @@
 				sim.Users.Submit(model.Job{ID: "req-500000", Team: "t", Class: "c", Kind: model.KindBatch, Priority: model.PriorityLow,
 					Tasks: 120, CPUs: 2, MemoryGB: 1, Image: "low", ImageGB: 1, EstimateS: 10}, 15*second)
 			})
-			sim.At(60*second, func() { sim.Checker.jobs["req-500000"].cancelRequested = true }) // replies say cancelled, but the job goes on
+			sim.At(60*second, func() { sim.Checker.jobs["req-500000"].cancelRequested = true }) // the user seems to have cancelled and replies say so, but the job goes on
 		}},
 		{rule: "forgotten", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
 			if r, ok := e.(core.Reply); ok && r.Status == 200 && sim.Now > 60*second {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -28,8 +28,8 @@
 	removedAt time.Duration
 }
 
-// serve handles a call of a controller. A repeated rental request gets the hosts that
-// it got first. The list of machines is Options.ListLag old.
+// serve handles a call of a controller. A rental request that is repeated after it got
+// machines gets the same hosts again. The list of machines is Options.ListLag old.
 func (c *Cloud) serve(call core.CloudCall) core.CloudResult {
 	result := core.CloudResult{CallID: call.CallID, Status: 200}
 	if c.Unavailable {
@@ -123,7 +123,8 @@
 	c.sim.After(notice, func() { c.RemoveMachine(host) })
 }
 
-// RemoveMachine ends a machine that the service has returned or the cloud reclaims.
+// RemoveMachine ends a machine that the service has returned or the cloud reclaims. It
+// does nothing if the machine doesn't exist any more.
 func (c *Cloud) RemoveMachine(host string) {
 	machine := c.machines[host]
 	if machine == nil || machine.removed {
--- a/internal/sim/gang.go
+++ b/internal/sim/gang.go
@@ -6,7 +6,8 @@
 	"mulleinfall/internal/model"
 )
 
-// gangAttempt is one attempt of a gang with the state that its tasks share.
+// gangAttempt is one attempt of a gang, a job whose tasks run all at once or not at all. It
+// holds the state that the tasks share.
 type gangAttempt struct {
 	job        *jobRecord
 	attempt    uint64
@@ -15,7 +16,7 @@
 	startedAt  time.Duration // when all tasks started
 	killedAt   time.Duration // first stop order with time to save; 0: none
 	savedTasks map[string]bool
-	brokenAt   time.Duration // when a task was lost or stopped without saving; 0: not yet
+	brokenAt   time.Duration // when a task was lost, paused or stopped without saving; 0: not yet
 	settled    bool          // the attempt has completed, saved or lost its unsaved progress
 }
 
@@ -29,7 +30,7 @@
 	return gang
 }
 
-// taskReady handles that a task has its image. The task waits until all tasks of the
+// taskReady handles a task that has its image. The task waits until all tasks of the
 // gang are ready; the last one starts them all.
 func (g *gangAttempt) taskReady(name string, wk *Worker) {
 	sim := wk.sim
@@ -48,8 +49,8 @@
 	}
 }
 
-// taskGone handles that a task is gone from its machine, which breaks an attempt that has
-// started and is not settled.
+// taskGone handles a task that has left its machine. The loss breaks the attempt if that
+// has started and is not settled.
 func (g *gangAttempt) taskGone(name string, now time.Duration) {
 	delete(g.members, name)
 	if g.started && g.brokenAt == 0 && !g.settled {
@@ -59,8 +60,8 @@
 }
 
 // settleProgress records the progress of an attempt that has ended without saving on
-// the stop order. That is the progress at its last regular checkpoint, before the stop
-// order if there was one.
+// the stop order: the progress at the last regular checkpoint before now, or before the
+// first stop order with time to save if there was one.
 func (g *gangAttempt) settleProgress(now time.Duration) {
 	if g.settled {
 		return
@@ -99,7 +100,7 @@
 
 // hasLostPeers reports whether the tasks have noticed by now that the attempt has
 // failed: half of peerTimeout after one of them was lost, or peerTimeout after the first
-// stop order if not all have saved by then.
+// stop order with time to save. The callers ask only while not all tasks have saved.
 func (g *gangAttempt) hasLostPeers(now, peerTimeout time.Duration) bool {
 	return g.brokenAt != 0 && now >= g.brokenAt+peerTimeout/2 || g.killedAt != 0 && now >= g.killedAt+peerTimeout
 }
@@ -146,8 +147,8 @@
 }
 
 // stopGangTask stops a gang's task that has its image. A running task with checkpoints
-// saves first if the grace period is long enough and the first stop order for the gang
-// came at most GangPeerTimeout ago.
+// saves first if the order gives a grace period that is long enough, and if the first such
+// order for the attempt came at most GangPeerTimeout ago.
 func (wk *Worker) stopGangTask(name string, run *taskRun, job *jobRecord, graceS *float64) {
 	sim, gang := wk.sim, job.gangAttemptFor(run.attempt)
 	if run.state == model.TaskRunning && job.spec.CheckpointEveryS > 0 && graceS != nil && *graceS >= job.spec.CheckpointCostS {
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -28,7 +28,7 @@
 		Tasks: tasks, CPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 2, EstimateS: 10}
 }
 
-// runningMachine returns the machine on which a task runs, or nil.
+// runningMachine returns the machine on which a task has started, or nil.
 func (s *Simulation) runningMachine(task string) *Worker {
 	return s.Checker.jobOf(task).runningOn[task]
 }
@@ -73,9 +73,9 @@
 // traceScenarios are the scenarios whose traces are kept in testdata for people to read.
 var traceScenarios = []struct {
 	name        string
-	description string // first line of the trace
-	until       time.Duration
-	run         func(sim *Simulation)
+	description string                // first line of the trace
+	until       time.Duration         // end of the run
+	run         func(sim *Simulation) // schedules the events of the scenario
 }{
 	{"gang-replacement", "A machine with waiting tasks is reclaimed while a gang gathers. The other tasks keep waiting. Replacement tasks with the same attempt number complete the gang.", 60 * second, func(sim *Simulation) {
 		sim.Cloud.Rent("small", "b", false, 2) // one machine more than the gang needs
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -15,15 +15,16 @@
 	// cancelled or done.
 	ProbesAllControllers bool
 	// StopsPollingAtEnd makes users stop polling a job once its end is confirmed to
-	// them. Without it they poll once more.
+	// them. Without it they poll once more 20 s later.
 	StopsPollingAtEnd bool
-	// CancelAtEndFraction is the fraction of jobs that users cancel just after the last
-	// task has ended.
+	// CancelAtEndFraction is the fraction of batch jobs that users cancel just after the
+	// last task has ended.
 	CancelAtEndFraction float64
 }
 
-// jobEnded handles the completion of a job's last task: for a fraction
-// CancelAtEndFraction of the jobs, the user cancels the job within 300 ms.
+// jobEnded handles the completion of a batch job's last task: for a fraction
+// CancelAtEndFraction of the accepted jobs that the user has not cancelled before, the
+// user cancels the job within 300 ms.
 func (u *Users) jobEnded(job *jobRecord) {
 	if job.cancelRequested || !job.accepted || u.CancelAtEndFraction == 0 || u.sim.Rand.Float64() >= u.CancelAtEndFraction {
 		return
@@ -50,7 +51,7 @@
 }
 
 // submitEvent returns a function that creates the event of a submission from its
-// request id.
+// request id. Its wall-clock time is that of the controllers without their error.
 func (u *Users) submitEvent(spec model.Job) func(uint64) core.Event {
 	return func(req uint64) core.Event {
 		return core.Submit{RequestID: req, Job: spec, WallMs: u.sim.Now.Milliseconds() + 1e9}
@@ -71,8 +72,8 @@
 func (u *Users) Submit(spec model.Job, runTime time.Duration) { u.SubmitStaggered(spec, runTime, 0) }
 
 // SubmitStaggered is like Submit, but each task runs for step longer than the one
-// before it. The user retries the submission every second for up to 60 s, until it is
-// accepted, or refused with 400 or 422.
+// before it. The user retries the submission a second after each other answer or timeout
+// for up to 60 s, until it is accepted, or refused with 400 or 422.
 func (u *Users) SubmitStaggered(spec model.Job, runTime, step time.Duration) {
 	sim := u.sim
 	job := sim.Checker.addJob(spec, runTime)
@@ -104,7 +105,9 @@
 	trySubmit()
 }
 
-// poll polls a job every 5 s until its end is confirmed, and once more 20 s later.
+// poll polls a job every 5 s until its end is confirmed, and, unless StopsPollingAtEnd is
+// set, once more 20 s later. A poll that is scheduled when the end is confirmed still goes
+// out.
 func (u *Users) poll(job *jobRecord) {
 	delay := 5 * time.Second
 	hasEnded := job.confirmedDone || job.cancelConfirmedAt != 0
@@ -132,9 +135,9 @@
 func (u *Users) Cancel(id string) { u.CancelVia(id, nil) }
 
 // CancelVia cancels a job. The first request goes to the given controller (nil: a
-// random one), retries go to random ones. The user retries every second until a request
-// succeeds or the end of the job is confirmed, and gives up if the answer is 404 before
-// the job has been accepted.
+// random one), retries go to random ones. The user retries a second after each failed
+// request until one succeeds or the end of the job is confirmed, and gives up if the
+// answer is 404 before the job has been accepted.
 func (u *Users) CancelVia(id string, controller *Controller) {
 	job := u.sim.Checker.jobs[id]
 	job.cancelRequested = true
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -30,7 +30,8 @@
 
 	// session is raised when the lease expires. seq is the sequence number of the last
 	// report, which the worker sent by itself or in the answer to a command. epoch is the
-	// highest epoch received so far; commands and answers with a lower one are refused.
+	// highest epoch received so far: orders with a lower one come from an earlier leader or
+	// are outdated, and are refused.
 	session, seq, epoch uint64
 	leaseStartedAt      time.Duration // when the report that renewed the lease was sent, or the session began
 	tasks               map[string]*taskRun
