--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -13,8 +13,8 @@
 	job     string
 }
 
-// cancelAt is when the faults of a scenario begin. The job is cancelled 200 ms later.
-const cancelAt = 60 * second
+// faultsAt is when the faults of a scenario begin. The job is cancelled 200 ms later.
+const faultsAt = 60 * second
 
 // afterReportAnswer calls f once the machine has received the answer to a report that it
 // sent after the given time.
@@ -75,20 +75,20 @@
 			scenario := &cancelScenario{largeFleet: newLargeFleet(options, test.machinesPerZone), job: "req-000001"}
 			scenario.Users.StopsPollingAtEnd = true
 			scenario.At(20*second, func() { scenario.Users.Submit(serviceJob(scenario.job, 1), 0) })
-			scenario.RunUntil(cancelAt)
+			scenario.RunUntil(faultsAt)
 			scenario.machine = scenario.runningMachine(scenario.job + "/0")
 			if scenario.machine == nil {
 				t.Fatal("got no machine that runs the task, want one")
 			}
 			test.run(scenario)
-			scenario.RunUntil(cancelAt + 200*time.Millisecond)
+			scenario.RunUntil(faultsAt + 200*time.Millisecond)
 			scenario.Users.Cancel(scenario.job)
-			scenario.RunUntil(cancelAt + 2*options.Config.CancelWithin)
+			scenario.RunUntil(faultsAt + 2*options.Config.CancelWithin)
 			for _, violation := range scenario.Checker.Violations {
 				t.Error(violation)
 			}
 			confirmedAt := scenario.Checker.jobs[scenario.job].cancelConfirmedAt
-			if confirmedAt == 0 || confirmedAt > cancelAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
+			if confirmedAt == 0 || confirmedAt > faultsAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
 				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s of the start of the faults and at least 1 task stopped", confirmedAt, scenario.Checker.CancelledTasksStopped)
 			}
 			t.Logf("the cancelled tasks were gone %v before the end of cancel_s", scenario.Checker.LeastMargin)
