--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -72,8 +72,8 @@
 func (u *Users) Submit(spec model.Job, runTime time.Duration) { u.SubmitStaggered(spec, runTime, 0) }
 
 // SubmitStaggered is like Submit, but each task runs for step longer than the one
-// before it. The user retries the submission a second after each other answer or timeout
-// for up to 60 s, until it is accepted, or refused with 400 or 422.
+// before it. The user retries the submission for up to 60 s, a second after each failed
+// try, until it is accepted, or refused with 400 or 422.
 func (u *Users) SubmitStaggered(spec model.Job, runTime, step time.Duration) {
 	sim := u.sim
 	job := sim.Checker.addJob(spec, runTime)
