--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -13,8 +13,8 @@
 	job     string
 }
 
-// cancelAt is when the faults of a scenario begin. The job is cancelled 200 ms later.
-const cancelAt = 60 * second
+// faultsAt is when the faults of a scenario begin. The job is cancelled 200 ms later.
+const faultsAt = 60 * second
 
 // afterReportAnswer calls f once the machine has received the answer to a report that it
 // sent after the given time.
@@ -35,7 +35,9 @@
 
 // cancelScenarios are scenarios in which a machine gets an answer, and with it a renewed
 // lease, later than cancel_s - lease_s after the cancellation was confirmed to the user.
-// Nothing after that answer tells the machine of the cancellation.
+// Nothing after that answer tells the machine of the cancellation. The setting cancel_s
+// is the time within which the tasks of a cancelled job must be gone (CancelWithin),
+// lease_s is the duration of a worker's lease.
 var cancelScenarios = []struct {
 	name            string
 	machinesPerZone int
@@ -51,8 +53,8 @@
 }
 
 // pauseOnceAnswered prevents any election until a renewed lease of the machine would
-// last longer than CancelWithin allows. It then pauses the machine as soon as a leader
-// has answered it.
+// last longer than CancelWithin allows. It then pauses the machine, for longer than its
+// lease, as soon as a leader has answered it.
 func pauseOnceAnswered(scenario *cancelScenario) {
 	config := scenario.Options.Config
 	scenario.LateCommandFraction = 1
@@ -73,20 +75,20 @@
 			scenario := &cancelScenario{largeFleet: newLargeFleet(options, test.machinesPerZone), job: "req-000001"}
 			scenario.Users.StopsPollingAtEnd = true
 			scenario.At(20*second, func() { scenario.Users.Submit(serviceJob(scenario.job, 1), 0) })
-			scenario.RunUntil(cancelAt)
+			scenario.RunUntil(faultsAt)
 			scenario.machine = scenario.runningMachine(scenario.job + "/0")
 			if scenario.machine == nil {
 				t.Fatal("got no machine that runs the task, want one")
 			}
 			test.run(scenario)
-			scenario.RunUntil(cancelAt + 200*time.Millisecond)
+			scenario.RunUntil(faultsAt + 200*time.Millisecond)
 			scenario.Users.Cancel(scenario.job)
-			scenario.RunUntil(cancelAt + 2*options.Config.CancelWithin)
+			scenario.RunUntil(faultsAt + 2*options.Config.CancelWithin)
 			for _, violation := range scenario.Checker.Violations {
 				t.Error(violation)
 			}
 			confirmedAt := scenario.Checker.jobs[scenario.job].cancelConfirmedAt
-			if confirmedAt == 0 || confirmedAt > cancelAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
+			if confirmedAt == 0 || confirmedAt > faultsAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
 				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s of the start of the faults and at least 1 task stopped", confirmedAt, scenario.Checker.CancelledTasksStopped)
 			}
 			t.Logf("the cancelled tasks were gone %v before the end of cancel_s", scenario.Checker.LeastMargin)
