--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -33,7 +33,7 @@
 	rentPauses     int
 	nextRentalAt   time.Duration
 
-	nextPreemptionAt time.Duration // no preemption for the gang before this time
+	nextVictimSearchAt time.Duration // no preemption for the gang before this time
 }
 
 // isGangSchedulable reports whether tasks of j may be placed now: either all of them,
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -77,11 +77,11 @@
 			break // the dispatch rule has to run as well
 		}
 		hits, pending := 0, 0
-		holdsImage := func(m *machine) bool { return m.view.Images.Has(j.Image) }
+		hasImage := func(m *machine) bool { return m.view.Images.Has(j.Image) }
 		for _, v := range env.views {
 			m := v.Ref.(*machine)
 			switch {
-			case !holdsImage(m) || !s.allowed(j, m):
+			case !hasImage(m) || !s.allowed(j, m):
 			case v.Free.Fits(j.queueEntry.Need):
 				hits++
 			case s.isReservedFor(m, j):
@@ -93,7 +93,7 @@
 			if usage == nil {
 				usage = s.usageWithoutStopping()
 			}
-			pending += s.preemptFor(j, n, holdsImage, env, usage)
+			pending += s.preemptFor(j, n, hasImage, env, usage)
 		}
 		if held := min(pending, j.queueEntry.Waiting); held > 0 {
 			heldBack[j] = held
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -32,14 +32,14 @@
 	return option
 }
 
-// preemptionsPerReport limits how often victims for a gang are searched for in a worker's
+// victimSearchesPerReport limits how often victims for a gang are searched for in a worker's
 // report interval: little changes between reports.
-const preemptionsPerReport = 6
+const victimSearchesPerReport = 6
 
 // gangEviction is an eviction after which all waiting tasks of a gang fit.
 type gangEviction struct {
 	eviction
-	options  []evictionOption
+	chosen   []evictionOption
 	lostWork float64
 }
 
@@ -49,25 +49,25 @@
 // enough free capacity.
 func (s *State) preemptForGang(j *job, env *roundEnv, usage map[string]sched.Resources) {
 	n := j.queueEntry.Waiting
-	if s.now < j.gang.nextPreemptionAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
+	if s.now < j.gang.nextVictimSearchAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
 	// A search of the fleet for each gang in each round would use up the rounds' time.
-	j.gang.nextPreemptionAt = s.now + s.cfg.ReportInterval/preemptionsPerReport
+	j.gang.nextVictimSearchAt = s.now + s.cfg.ReportInterval/victimSearchesPerReport
 	var best *gangEviction
 	for _, zone := range candidateZones(j, env.views) {
 		if env.BudgetExhausted() {
 			s.dispatchNeeded = true
 			return
 		}
-		if e := s.evictInZone(j, n, zone, env, usage); e != nil && (best == nil || e.lostWork < best.lostWork) {
+		if e := s.planEvictionInZone(j, n, zone, env, usage); e != nil && (best == nil || e.lostWork < best.lostWork) {
 			best = e
 		}
 	}
 	if best == nil {
 		return
 	}
-	for _, option := range best.options {
+	for _, option := range best.chosen {
 		best.commit(option, env)
 	}
 	maps.Copy(usage, best.teamUsage)
@@ -86,9 +86,9 @@
 	return sortedKeys(zones)
 }
 
-// evictInZone chooses victims so that n tasks of j fit in a zone, those with the least
+// planEvictionInZone chooses victims so that n tasks of j fit in a zone, those with the least
 // lost work first. The zone "" stands for all zones. It returns nil if the tasks can't fit.
-func (s *State) evictInZone(j *job, n int, zone string, env *roundEnv, usage map[string]sched.Resources) *gangEviction {
+func (s *State) planEvictionInZone(j *job, n int, zone string, env *roundEnv, usage map[string]sched.Resources) *gangEviction {
 	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(usage), gangWithinGuarantee: s.isWithinGuarantee(j, n, usage)}}
 	machines := s.eligibleMachines(j, n, zone, env)
 	var options optionHeap
@@ -115,7 +115,7 @@
 			continue
 		}
 		e.choose(current)
-		e.options = append(e.options, current)
+		e.chosen = append(e.chosen, current)
 		e.lostWork += current.lostWork
 		addedInZone[option.machine.zone]++
 		n--
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -54,7 +54,7 @@
 	}
 	d.isResuming = false
 	for _, j := range jobs {
-		j.hasReservation = false
+		j.reservationTried = false
 	}
 	// Most machines of a busy fleet have no capacity for any waiting task. They are
 	// filtered out once a round, not once a task.
@@ -135,9 +135,9 @@
 		return true // held back by the limit, which doesn't count as a skip
 	}
 	ranking := newMachineRanking(now, j, withCapacity, env)
-	var passed []*Job
+	var skipped []*Job
 	if len(ranking.list) > 0 {
-		passed = earlierJobs(ahead, j, env)
+		skipped = earlierJobs(ahead, j, env)
 	}
 	for first := true; j.Waiting > 0; first = false {
 		if !first && env.BudgetExhausted() {
@@ -146,8 +146,8 @@
 		if !first && !env.WithinLimit(j) {
 			return true
 		}
-		for _, a := range passed {
-			if a.Skips >= d.cfg.SkipLimit && !a.hasReservation {
+		for _, a := range skipped {
+			if a.Skips >= d.cfg.SkipLimit && !a.reservationTried {
 				d.reserveMachine(now, a, machines, env)
 			}
 		}
@@ -156,14 +156,14 @@
 			d.handleNoMachine(now, j, machines, withCapacity, env)
 			return true
 		}
-		path, waits := d.choosePath(ranking, best, len(passed) > 0, machines, env)
+		path, waits := d.choosePath(ranking, best, len(skipped) > 0, machines, env)
 		if waits {
 			continue
 		}
 		if !env.Place(j, best.machine, path) {
 			return true
 		}
-		for _, a := range passed {
+		for _, a := range skipped {
 			a.Skips++
 		}
 		ranking.placedOnBest()
@@ -177,17 +177,17 @@
 // no fetch on a free machine to compare the wait with. Tasks that joined one anyway
 // were stuck behind a single estimate while other machines became free.
 func (d *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, withCapacity []*Machine, env Env) {
-	if j.Skips >= d.cfg.SkipLimit && !j.hasReservation && len(withCapacity) > 0 {
+	if j.Skips >= d.cfg.SkipLimit && !j.reservationTried && len(withCapacity) > 0 {
 		d.reserveMachine(now, j, machines, env)
 	}
 }
 
 // choosePath returns the path by which a task of the ranked job goes to the best
 // machine. If waits is true, the task has joined the local queue of a machine that
-// holds its image instead. overtakes says that earlier jobs of the same rank still wait.
-func (d *Dispatcher) choosePath(ranking *machineRanking, best rankedMachine, overtakes bool, machines []*Machine, env Env) (path Path, waits bool) {
+// has its image instead. skipsEarlier says that earlier jobs of the same rank still wait.
+func (d *Dispatcher) choosePath(ranking *machineRanking, best rankedMachine, skipsEarlier bool, machines []*Machine, env Env) (path Path, waits bool) {
 	switch {
-	case best.hasImage && overtakes:
+	case best.hasImage && skipsEarlier:
 		return PathSkipHit, false
 	case best.hasImage:
 		return PathHit, false
@@ -203,7 +203,7 @@
 	// Normally only a hit may overtake earlier tasks. Here the earlier tasks found no
 	// machine in this round, so holding this task back would leave the machine idle
 	// without helping them.
-	if overtakes {
+	if skipsEarlier {
 		return PathPassMiss, false
 	}
 	return PathFetch, false
@@ -212,7 +212,7 @@
 // reserveMachine reserves one machine for a job at its skip limit: the one that
 // should have capacity soonest. Otherwise smaller tasks would starve the job.
 func (d *Dispatcher) reserveMachine(now time.Duration, j *Job, machines []*Machine, env Env) {
-	j.hasReservation = true
+	j.reservationTried = true
 	var best *Machine
 	shortestWait := Never
 	for _, m := range machines {
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -88,8 +88,10 @@
 	return time.Duration(gb / m.FetchGBPerS * float64(time.Second))
 }
 
-// holdsImage reports whether m has j's image or is fetching it.
-func (m *Machine) holdsImage(j *Job) bool { return m.Images.Has(j.Image) || m.isFetching(j.Image) }
+// hasOrFetchesImage reports whether m has j's image or is fetching it.
+func (m *Machine) hasOrFetchesImage(j *Job) bool {
+	return m.Images.Has(j.Image) || m.isFetching(j.Image)
+}
 
 // AddRunning adds a running task and keeps Running sorted.
 func (m *Machine) AddRunning(r RunningTask) {
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -95,7 +95,7 @@
 	if !r.holdersKnown {
 		r.holdersKnown = true
 		for _, m := range machines {
-			if !m.reserved && m.Capacity.Fits(r.job.Need) && !m.Free.Fits(r.job.Need) && m.holdsImage(r.job) {
+			if !m.reserved && m.Capacity.Fits(r.job.Need) && !m.Free.Fits(r.job.Need) && m.hasOrFetchesImage(r.job) {
 				r.addHolder(m)
 			}
 		}
--- a/internal/sched/reference_rule_test.go
+++ b/internal/sched/reference_rule_test.go
@@ -21,7 +21,7 @@
 		dispatcher.serveLocalQueue(now, m, env)
 	}
 	for _, j := range jobs {
-		j.hasReservation = false
+		j.reservationTried = false
 	}
 	for i, j := range jobs {
 		// If no machine is free for the job, no machine is reserved for the jobs ahead of it.
@@ -35,9 +35,9 @@
 }
 
 func (r referenceRule) placeOne(dispatcher *Dispatcher, now time.Duration, ahead []*Job, j *Job, machines []*Machine, env Env) bool {
-	passed := earlierJobs(ahead, j, env)
-	for _, a := range passed {
-		if a.Skips >= r.cfg.SkipLimit && !a.hasReservation {
+	skipped := earlierJobs(ahead, j, env)
+	for _, a := range skipped {
+		if a.Skips >= r.cfg.SkipLimit && !a.reservationTried {
 			dispatcher.reserveMachine(now, a, machines, env)
 		}
 	}
@@ -54,7 +54,7 @@
 			if delay := m.fetchTime(now, j); free == nil || delay < fetchDelay || delay == fetchDelay && isBetter(m, free, j) {
 				free, fetchDelay = m, delay
 			}
-		case m.holdsImage(j):
+		case m.hasOrFetchesImage(j):
 			if wait := m.EstimateWait(now, j); wait < Never {
 				if delay := max(wait, m.fetchTime(now, j)); delay < holderDelay {
 					holder, holderDelay = m, delay
@@ -65,12 +65,12 @@
 	atLimit := j.Skips >= r.cfg.SkipLimit
 	path, target := Path(""), hit
 	switch {
-	case hit != nil && len(passed) > 0:
+	case hit != nil && len(skipped) > 0:
 		path = PathSkipHit
 	case hit != nil:
 		path = PathHit
 	case free == nil:
-		if atLimit && !j.hasReservation {
+		if atLimit && !j.reservationTried {
 			dispatcher.reserveMachine(now, j, machines, env)
 		}
 		return false
@@ -80,7 +80,7 @@
 		holder.LocalQueue = append(holder.LocalQueue, QueuedTask{Job: j, WaitDeadline: now + max(holderDelay, time.Second)})
 		j.Waiting--
 		return true
-	case len(passed) > 0:
+	case len(skipped) > 0:
 		path, target = PathPassMiss, free
 	default:
 		path, target = PathFetch, free
@@ -88,7 +88,7 @@
 	if !env.Place(j, target, path) {
 		return false
 	}
-	for _, a := range passed {
+	for _, a := range skipped {
 		a.Skips++
 	}
 	return true
@@ -119,7 +119,7 @@
 		end = f.now + j.Estimate
 	}
 	m.AddRunning(RunningTask{j.Need, end})
-	if !m.holdsImage(j) {
+	if !m.hasOrFetchesImage(j) {
 		m.Fetching = append(m.Fetching, Fetch{j.Image, j.ImageGB, f.now})
 	}
 	fmt.Fprintf(&f.output, "%s -> %s (%s)\n", j.ID, m.ID, path)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -29,7 +29,7 @@
 	Waiting           int           // tasks in the global queue
 	Skips             int           // how often a later task went first
 	Ref               any           // the caller's own record of the job
-	hasReservation    bool          // reserveMachine has been called for it in this round
+	reservationTried  bool          // reserveMachine has been called for it in this round
 }
 
 // Config holds the operator's settings for dispatch.
