--- a/internal/sched/cache.go
+++ b/internal/sched/cache.go
@@ -1,7 +1,7 @@
 package sched
 
-// Cache models which images a machine holds. Like the workers, it keeps the most
-// recently used images up to its size.
+// Cache models which images a machine has. Like the workers, it keeps the most
+// recently used images up to its size. The last one is kept even if it is larger.
 type Cache struct {
 	SizeGB float64
 	images []image // least recently used first
@@ -12,7 +12,7 @@
 	gb   float64
 }
 
-// Has reports whether the machine should hold the image according to the model.
+// Has reports whether the machine has the image according to the model.
 func (c *Cache) Has(name string) bool { return c.indexOf(name) >= 0 }
 
 func (c *Cache) indexOf(name string) int {
@@ -24,7 +24,8 @@
 	return -1
 }
 
-// Use records that a task uses the image now, and adds the image if it is missing.
+// Use records that a task uses the image now. It adds the image if it is missing, and
+// removes the least recently used images while all together exceed the size.
 func (c *Cache) Use(name string, gb float64) {
 	if i := c.indexOf(name); i >= 0 {
 		c.images = append(c.images[:i], c.images[i+1:]...)
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -6,13 +6,14 @@
 )
 
 // Dispatcher places waiting tasks on machines in rounds. A round that exhausts its
-// time budget is continued by the next call at the job where it stopped.
+// time budget is continued by the next call of RunRound at the job where it stopped.
 type Dispatcher struct {
 	cfg         Config
 	isResuming  bool
 	resumeJobID string
-	// reserved are the machines reserved for a gang in this round, and
-	// previouslyReserved those of the round before.
+	// reserved are the machines that were reserved for a gang in the current round or,
+	// between two rounds, in the last one. previouslyReserved are those of the round
+	// before. Machine.reserved also covers the machines of reserveMachine.
 	reserved, previouslyReserved map[*Machine]bool
 }
 
@@ -29,7 +30,7 @@
 	for _, m := range machines {
 		m.reserved = d.isResuming && d.reserved[m]
 		switch {
-		case d.reserved[m]:
+		case d.reserved[m]: // for a gang, in this round or in the one before
 			for _, q := range m.LocalQueue {
 				q.Job.Waiting++ // back to the global queue: another machine may be sooner
 			}
@@ -39,8 +40,8 @@
 		}
 	}
 	if !d.isResuming {
-		// A gang that still waits reserves again in this round, and prefers the
-		// machines that it had.
+		// Machines for a gang are reserved again in each round. Those of the last round
+		// are preferred, whichever gang they were for.
 		d.previouslyReserved, d.reserved = d.reserved, map[*Machine]bool{}
 	}
 	start := 0
@@ -57,7 +58,7 @@
 		j.reservationTried = false
 	}
 	// Most machines of a busy fleet have no capacity for any waiting task. They are
-	// filtered out once a round, not once a task.
+	// filtered out once here, not for each task.
 	withCapacity := machinesWithCapacity(jobs[start:], machines)
 	for i := start; i < len(jobs); i++ {
 		j := jobs[i]
@@ -100,8 +101,9 @@
 	return withCapacity
 }
 
-// serveLocalQueue places tasks of m's local queue on m as long as they fit. Tasks
-// that have waited longer than estimated return to the global queue.
+// serveLocalQueue places tasks of m's local queue on m, in order, as long as the first
+// one may be placed. Tasks that have waited longer than estimated return to the global
+// queue.
 func (d *Dispatcher) serveLocalQueue(now time.Duration, m *Machine, env Env) {
 	for len(m.LocalQueue) > 0 {
 		q := m.LocalQueue[0]
@@ -127,15 +129,16 @@
 }
 
 // placeJob places as many waiting tasks of j as the dispatch rule allows now. ahead
-// are the jobs before j in the queue. It returns false if the round's budget is used
-// up. All tasks of a job are alike, so the machines are ranked once for all of them,
-// and each placement changes the rank of one machine only.
+// are the jobs before j in the queue; placing a task of j skips those of j's rank that
+// still wait. It returns false if the round's budget is used up. All tasks of a job are
+// alike, so the machines are ranked once for all of them, and each placement changes
+// the rank of one machine only.
 func (d *Dispatcher) placeJob(now time.Duration, ahead []*Job, j *Job, machines, withCapacity []*Machine, env Env) bool {
 	if !env.WithinLimit(j) {
-		return true // held back by the limit, which doesn't count as a skip
+		return true // held back by its team's limit: later tasks don't count as skipping it
 	}
 	ranking := newMachineRanking(now, j, withCapacity, env)
-	var skipped []*Job
+	var skipped []*Job // the jobs that each placed task of j skips
 	if len(ranking.list) > 0 {
 		skipped = earlierJobs(ahead, j, env)
 	}
@@ -146,6 +149,8 @@
 		if !first && !env.WithinLimit(j) {
 			return true
 		}
+		// A job at its skip limit has a machine reserved before it is skipped once more.
+		// This may take the machine that is best for j.
 		for _, a := range skipped {
 			if a.Skips >= d.cfg.SkipLimit && !a.reservationTried {
 				d.reserveMachine(now, a, machines, env)
@@ -171,11 +176,12 @@
 	return true
 }
 
-// handleNoMachine is called if no machine has capacity for j. If j is at its skip
-// limit and some machine has capacity for other tasks, a machine is reserved for j.
-// The task doesn't join the local queue of a machine that holds its image: there is
-// no fetch on a free machine to compare the wait with. Tasks that joined one anyway
-// were stuck behind a single estimate while other machines became free.
+// handleNoMachine is called if no machine on which j is allowed has capacity for it. If
+// j is at its skip limit and the round found capacity for other tasks, a machine is
+// reserved for j. The task doesn't join the local queue of a machine that has its
+// image: no machine is free, so there is no fetch time to compare the wait with. A task
+// that joined one would stay bound to that machine until the estimated wait is over,
+// even if another machine became free sooner.
 func (d *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, withCapacity []*Machine, env Env) {
 	if j.Skips >= d.cfg.SkipLimit && !j.reservationTried && len(withCapacity) > 0 {
 		d.reserveMachine(now, j, machines, env)
@@ -183,8 +189,9 @@
 }
 
 // choosePath returns the path by which a task of the ranked job goes to the best
-// machine. If waits is true, the task has joined the local queue of a machine that
-// has its image instead. skipsEarlier says that earlier jobs of the same rank still wait.
+// machine. If waits is true, the task has joined the local queue of a machine that has
+// or is fetching its image instead. skipsEarlier says that placing the task skips
+// earlier jobs. A hit is a placement on a machine that has the image.
 func (d *Dispatcher) choosePath(ranking *machineRanking, best rankedMachine, skipsEarlier bool, machines []*Machine, env Env) (path Path, waits bool) {
 	switch {
 	case best.hasImage && skipsEarlier:
@@ -200,9 +207,9 @@
 		ranking.updateHolder(holder)
 		return "", true
 	}
-	// Normally only a hit may overtake earlier tasks. Here the earlier tasks found no
-	// machine in this round, so holding this task back would leave the machine idle
-	// without helping them.
+	// Normally only a hit may skip earlier jobs. Here the earlier jobs found no machine
+	// in this round, so holding this task back would leave the machine idle without
+	// helping them.
 	if skipsEarlier {
 		return PathPassMiss, false
 	}
@@ -228,9 +235,9 @@
 	}
 }
 
-// earlierJobs lists the jobs of j's rank among those ahead of it that still wait and
-// are not held back by their team's limit. Gangs are left out, since skips don't
-// count for them.
+// earlierJobs lists the jobs that are skipped if a task of j is placed: those of j's
+// rank among the jobs ahead that still wait and are not held back by their team's
+// limit. Gangs are left out, since skips don't count for them.
 func earlierJobs(ahead []*Job, j *Job, env Env) []*Job {
 	var waiting []*Job
 	for _, a := range ahead {
--- a/internal/sched/gang.go
+++ b/internal/sched/gang.go
@@ -21,7 +21,8 @@
 	}
 	for waitingBefore := j.Waiting; j.Waiting > 0; {
 		// gangMachines checked the machines with no task placed yet. Each task that is
-		// placed counts for the zones and the limit, so both are checked again here.
+		// placed changes what the zones and the team's limit allow for the next one, so
+		// both are checked again here.
 		var m *Machine
 		for len(targets) > 0 && m == nil {
 			if p := targets[0]; p.Free.Fits(j.Need) && env.Allowed(j, p) {
@@ -38,10 +39,11 @@
 	}
 }
 
-// gangMachines lists machines that together have capacity for all waiting tasks of
-// j. Those that have the image soonest come first, since the gang starts once the
-// last of its tasks has its image. If the gang needs a single zone, all machines are
-// in the zone where it can start soonest. The result is false if there are none.
+// gangMachines lists all machines on which a task of j may be placed now. Those that
+// have the image soonest come first, since the gang starts once the last of its tasks
+// has its image. If the gang needs a single zone, only the machines of the zone where
+// it can start soonest are listed. The result is false if the machines, or those of
+// each single zone, don't have capacity for all waiting tasks of j.
 func gangMachines(now time.Duration, j *Job, machines []*Machine, env Env) ([]*Machine, bool) {
 	var best []*Machine
 	found, shortestFetch := false, Never
@@ -75,8 +77,9 @@
 	return best, found
 }
 
-// candidateZones lists the zones that are tried one after another, in order of their
-// names. The zone "" stands for all zones together.
+// candidateZones lists the zones in which capacity for the whole gang j is looked for,
+// one after another in order of their names. If j may use several zones at once, the
+// list is only "", which stands for all zones together.
 func candidateZones(j *Job, machines []*Machine) []string {
 	if !j.OneZone {
 		return []string{""}
@@ -102,9 +105,9 @@
 }
 
 // reserveForGang reserves the machines that should have capacity for the whole gang
-// soonest. Without this, single tasks of other jobs and of local queues refilled the
-// machines one by one, and they never had enough capacity at once. Only as many
-// machines as one gang needs are reserved, and for one gang at a time.
+// soonest. Without this, single tasks of other jobs and of local queues would refill
+// the machines one by one, and the gang would never find enough capacity at once. Only
+// as many machines as one gang needs are reserved, and for one gang at a time.
 func (d *Dispatcher) reserveForGang(now time.Duration, j *Job, machines []*Machine, env Env) {
 	if !j.MayReserve || len(d.reserved) > 0 {
 		return
@@ -141,7 +144,7 @@
 		fitting := 0
 		for i, m := range eligible {
 			if fitting += tasksOn[m]; fitting >= j.Waiting {
-				longestWait := time.Duration(0) // machines that the gang already has cost no wait
+				longestWait := time.Duration(0) // machines reserved in the last round count as no wait
 				for _, m := range eligible[:i+1] {
 					if !d.previouslyReserved[m] {
 						longestWait = max(longestWait, waitFor[m])
@@ -161,7 +164,8 @@
 }
 
 // estimateTimeToFree estimates how long it takes until need fits m's free capacity
-// if no more tasks are placed on m.
+// if no more tasks are placed on m. It returns Never if the running tasks that have an
+// estimated end don't free enough.
 func (m *Machine) estimateTimeToFree(now time.Duration, need Resources) time.Duration {
 	free, latestEnd := m.Free, now
 	for _, r := range m.Running {
--- a/internal/sched/machine.go
+++ b/internal/sched/machine.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// RunningTask is a task that occupies a machine.
+// RunningTask is a task that takes capacity of a machine, whether it runs already or not.
 type RunningTask struct {
 	Need  Resources
 	EndAt time.Duration // estimated; Never for services
 }
 
-// Never is the end time of services, and the wait for capacity that won't come free.
+// Never is the EndAt of services. As a wait, it means that the tasks with an estimated
+// end don't free enough capacity.
 const Never = time.Duration(math.MaxInt64)
 
 // Machine is a machine on which tasks may be placed.
@@ -25,24 +26,25 @@
 	FetchGBPerS  float64       // rate at which the machine fetches images
 	Running      []RunningTask // sorted by EndAt
 	Images       *Cache
-	Fetching     []Fetch // fetches under way
+	Fetching     []Fetch // fetches under way, the oldest first
 	LocalQueue   []QueuedTask
 	PricePerHour float64 // of the whole machine
 	Spot         bool    // the cloud may reclaim it
 	ServiceCPUs  float64 // CPUs of the services on it, which keep it from being returned soon
 	Ref          any     // the caller's own record of the machine
-	reserved     bool    // in this round, for a task at its skip limit or for a gang
-	priceClass   int     // class of its price per CPU in this round
+	reserved     bool    // for a task at its skip limit or for a gang, by the last call of RunRound
+	priceClass   int     // see assignPriceClasses; set at the beginning of RunRound
 }
 
-// IsReserved reports whether m is reserved for a task at its skip limit or for a gang.
+// IsReserved reports whether the last call of RunRound has left m reserved for a task at
+// its skip limit or for a gang.
 func (m *Machine) IsReserved() bool { return m.reserved }
 
 // Fetch is the fetch of an image to a machine.
 type Fetch struct {
 	Image     string
 	GB        float64
-	StartedAt time.Duration
+	StartedAt time.Duration // when the first task that needs it was placed on the machine
 }
 
 // QueuedTask is a task in a machine's local queue.
@@ -53,7 +55,8 @@
 	WaitDeadline time.Duration
 }
 
-// remainingFetchGB estimates how many GB the fetches under way on m have left.
+// remainingFetchGB estimates how many GB the fetches under way on m have left. It
+// assumes that m has worked on them at its full rate since the oldest was started.
 func (m *Machine) remainingFetchGB(now time.Duration) float64 {
 	remaining := 0.0
 	for _, f := range m.Fetching {
@@ -75,8 +78,8 @@
 }
 
 // fetchTime estimates how long a task of j that is placed on m now waits for its
-// image: the size of the image plus what the fetches under way have left, divided by
-// the fetch rate. It is 0 if m has the image.
+// image: what the fetches under way have left, plus the size of the image unless it is
+// one of them, divided by the fetch rate. It is 0 if m has the image.
 func (m *Machine) fetchTime(now time.Duration, j *Job) time.Duration {
 	if m.Images.Has(j.Image) {
 		return 0
--- a/internal/sched/machine_order.go
+++ b/internal/sched/machine_order.go
@@ -10,8 +10,8 @@
 // isBetter reports whether a is preferred to b for a task of j that would start
 // equally soon on both. Work that would miss its goal by a restart goes to
 // machines that the cloud doesn't reclaim, and leaves spot machines to other work.
-// Otherwise work is packed on the machines with the lowest price per CPU, then on
-// those that services keep in use anyway, then on the fullest, so that the other
+// Otherwise work is packed on the machines in the lowest class of price per CPU, then
+// on those that services keep in use anyway, then on the fullest, so that the other
 // machines become empty and can be returned.
 func isBetter(a, b *Machine, j *Job) bool {
 	return isBetterWithLeftover(a, b, j, leftoverShare(a, j), leftoverShare(b, j))
--- a/internal/sched/ranking.go
+++ b/internal/sched/ranking.go
@@ -6,14 +6,14 @@
 )
 
 // machineRanking ranks the machines that have capacity for a task of one job:
-// those that hold its image first, then by how soon they have it, then by isBetter.
+// those that have its image first, then by how soon they have it, then by isBetter.
 type machineRanking struct {
 	now  time.Duration
 	job  *Job
 	list []rankedMachine // a heap
 	// holders are the machines without capacity that have the image or are fetching
 	// it. Waiting for one of them is compared with fetching elsewhere. They are
-	// determined when they are first needed.
+	// determined when they are first needed; until then holdersKnown is false.
 	holders      []rankedMachine
 	holdersKnown bool
 }
@@ -45,8 +45,8 @@
 	return x
 }
 
-// newMachineRanking ranks those of the given machines on which a task of j may be
-// placed now.
+// newMachineRanking ranks those of the given machines on which a task of j fits and is
+// allowed now.
 func newMachineRanking(now time.Duration, j *Job, withCapacity []*Machine, env Env) *machineRanking {
 	ranking := &machineRanking{now: now, job: j}
 	for _, m := range withCapacity {
--- a/internal/sched/reference_rule_test.go
+++ b/internal/sched/reference_rule_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// referenceRule applies the dispatch rule of the design task by task and machine by
-// machine. It is slow, and the Dispatcher with its ranking must decide the same.
+// referenceRule applies the dispatch rule (see the package comment) task by task and
+// machine by machine, without gangs. It is slow, and the Dispatcher with its ranking must
+// decide the same.
 type referenceRule struct{ cfg Config }
 
 func (r referenceRule) run(now time.Duration, jobs []*Job, machines []*Machine, env Env) {
@@ -24,7 +25,8 @@
 		j.reservationTried = false
 	}
 	for i, j := range jobs {
-		// If no machine is free for the job, no machine is reserved for the jobs ahead of it.
+		// If no machine is free for the job, none of its tasks is placed. So it skips no
+		// job ahead of it, and no machine is reserved for one.
 		ahead := jobs[:i]
 		if !slices.ContainsFunc(machines, func(m *Machine) bool { return !m.reserved && m.Free.Fits(j.Need) && env.Allowed(j, m) }) {
 			ahead = nil
@@ -34,6 +36,8 @@
 	}
 }
 
+// placeOne places one task of j, or lets it join a local queue. It returns false if the
+// task could do neither.
 func (r referenceRule) placeOne(dispatcher *Dispatcher, now time.Duration, ahead []*Job, j *Job, machines []*Machine, env Env) bool {
 	skipped := earlierJobs(ahead, j, env)
 	for _, a := range skipped {
@@ -94,7 +98,8 @@
 	return true
 }
 
-// randomFleet is a random fleet with jobs, small enough to simulate twice.
+// randomFleet is a random fleet with jobs, small enough to simulate twice. It implements
+// Env and records the decisions.
 type randomFleet struct {
 	scriptedDispatcher
 	zoneOf      map[*Machine]int
--- a/internal/sched/resources.go
+++ b/internal/sched/resources.go
@@ -7,7 +7,7 @@
 // many times.
 const roundingTolerance = 1e-6
 
-// Fits reports whether need fits in r.
+// Fits reports whether need fits in r, up to rounding errors.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPUs <= r.CPUs+roundingTolerance && need.GPUs <= r.GPUs+roundingTolerance && need.MemoryGB <= r.MemoryGB+roundingTolerance
 }
--- a/internal/sched/sched_test.go
+++ b/internal/sched/sched_test.go
@@ -22,8 +22,8 @@
 	jobs         []*Job
 	cpuLimit     map[string]float64 // by job: CPUs that its team may still use
 	budget       int                // calls of BudgetExhausted that return false in a round; 0: all
-	budgetChecks int
-	gangTasksOn  map[*Machine]int // tasks of the gang that is being placed
+	budgetChecks int                // calls of BudgetExhausted in this round
+	gangTasksOn  map[*Machine]int   // tasks of gangs placed since the last Undo
 	output       strings.Builder
 }
 
@@ -105,7 +105,7 @@
 		}
 		m.AddRunning(RunningTask{Resources{CPUs: number(2)}, end})
 		m.Free.CPUs -= number(2)
-	case "job": // job ID TASKS CPUS IMAGE GB ESTIMATE [RANK]
+	case "job": // job ID TASKS CPUS IMAGE GB ESTIMATE; an estimate of 0 makes it a service
 		j := &Job{ID: fields[1], Waiting: int(number(2)), Need: Resources{CPUs: number(3)}, Image: fields[4], ImageGB: number(5),
 			Estimate: time.Duration(number(6)) * time.Second, Arrival: uint64(len(d.jobs))}
 		if j.Estimate == 0 {
@@ -116,7 +116,7 @@
 		for _, j := range d.jobs {
 			j.IsGang = j.IsGang || j.ID == fields[1]
 		}
-	case "limit": // limit JOB CPUS
+	case "limit": // limit JOB CPUS: CPUs that the job's team may still use
 		d.cpuLimit[fields[1]] = number(2)
 	case "skipped": // skipped JOB N
 		for _, j := range d.jobs {
@@ -127,9 +127,9 @@
 	case "free": // free MACHINE: ends its running tasks
 		m := findMachine(fields[1])
 		m.Free, m.Running = m.Capacity, nil
-	case "budget":
+	case "budget": // budget CALLS: see scriptedDispatcher.budget
 		d.budget = int(number(1))
-	case "at":
+	case "at": // at SECONDS
 		d.now = time.Duration(number(1)) * time.Second
 	case "round":
 		d.budgetChecks = 0
