--- a/internal/core/bitmap.go
+++ b/internal/core/bitmap.go
@@ -24,7 +24,8 @@
 }
 
 // chunk is a section of a job's bitmap of finished tasks. Each chunk has keys of its own,
-// since the bitmap of a large job may exceed the state service's limit on values.
+// since the bitmap of a large job may exceed the state service's limit on the size of a
+// value. For the same reason a chunk may be stored in several parts, each under one key.
 type chunk struct {
 	dirty        bool // some bits are not yet stored
 	writing      bool
@@ -93,8 +94,8 @@
 	return c != nil && c.durableBits[(i%chunkTasks)/64]&(1<<(i%64)) != 0
 }
 
-// writeBitmaps stores newly finished tasks. Each chunk is written at most once per
-// BitmapWriteInterval.
+// writeBitmaps stores newly finished tasks, or the end of a job if all its tasks are
+// finished. Each chunk is written at most once per BitmapWriteInterval.
 func (s *State) writeBitmaps() {
 	if s.now < s.nextBitmapCheckAt {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// writeChunk stores a chunk, in several parts if it exceeds the limit on values.
+// writeChunk stores a chunk, in several parts if it exceeds the limit on the size of a value.
 func (s *State) writeChunk(j *job, number int, c *chunk) {
 	c.dirty, c.writing, c.lastWriteAt = false, true, s.now
 	words := append([]uint64(nil), j.doneBits[number*chunkWords:number*chunkWords+len(c.durableBits)]...)
@@ -129,10 +130,10 @@
 	for len(encoded) > 0 && encoded[len(encoded)-1] == 0 {
 		encoded = encoded[:len(encoded)-1]
 	}
-	// A part holds at most this many bytes of the bitmap, so that a value with it in
-	// base64 stays within the limit. All versions can read the first part. The other
-	// parts are written only when all controllers can read them. Until then what they
-	// would hold isn't durable, so workers don't forget those tasks.
+	// A part holds at most maxBytes of the bitmap, so that a value with the part in base64
+	// stays within the limit. All versions can read the first part. The other parts are
+	// written only when all controllers can read them. Until then what they would hold
+	// isn't durable, so workers don't forget those tasks.
 	maxBytes := (s.cfg.MaxValueBytes - 64) * 3 / 4
 	last := max(len(encoded)-1, 0) / maxBytes * maxBytes
 	if s.clusterVersion < versionGangs && last > 0 {
@@ -142,8 +143,8 @@
 		}
 		last = 0
 	}
-	// The first part is written last: if it gets shorter than the stored value, the other
-	// parts already hold what it no longer holds.
+	// The first part is written last: if it gets shorter than the stored first part, the
+	// other parts already hold what it no longer holds.
 	for from := last; from >= 0; from -= maxBytes {
 		part := encoded[from:min(from+maxBytes, len(encoded))]
 		key := prefixProgress + j.ID + "/" + strconv.Itoa(number)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -63,8 +63,8 @@
 }
 
 // TestFirstRevisionIsWatched guards against a lost first change: an empty state service
-// is at revision 0. A controller that watched from revision 1 on missed the term of the
-// first election, and no later election could be won.
+// is at revision 0. A controller that watched from revision 1 on would miss the term of
+// the first election, and no later election could be won.
 func TestFirstRevisionIsWatched(t *testing.T) {
 	s := newSingleController()
 	listCall, ok := findStoreCall(s.Step(0, Tick{}), StoreList)
@@ -79,7 +79,7 @@
 }
 
 // TestMemoryPerEntry limits the memory that the tables need for a machine, a job, and the
-// outcome of a final job, which is kept for ever.
+// outcome of a final (done or cancelled) job, which is kept for ever.
 func TestMemoryPerEntry(t *testing.T) {
 	heapBytes := func() float64 {
 		runtime.GC()
@@ -119,9 +119,10 @@
 }
 
 // TestUnreachedControllerDelaysCampaign guards against the election of a controller that
-// the workers can't reach. A controller that had stepped down for that reason was elected
-// again when its successor crashed, which cost the workers a lease. It must campaign only
-// if no other controller has done so for a while, or once a worker has reached it.
+// the workers can't reach. A controller that has stepped down for that reason must campaign
+// only if no other controller has done so for a while, or once a worker has reached it.
+// Otherwise it could be elected again when its successor crashes, which costs the workers
+// a lease.
 func TestUnreachedControllerDelaysCampaign(t *testing.T) {
 	campaigns := func(s *State, at time.Duration) bool {
 		for _, e := range s.Step(at, Tick{}) {
@@ -156,8 +157,8 @@
 
 // TestOverrunLeaderDelaysCampaign guards against slow controllers that take turns as
 // leader. A controller that lost its leadership because it had too little processor time
-// must let the others campaign first. When it didn't, two slow controllers took over from
-// each other again and again while a third one was healthy.
+// must let the others campaign first. Otherwise two slow controllers could take over from
+// each other again and again while a third one is healthy.
 func TestOverrunLeaderDelaysCampaign(t *testing.T) {
 	cfg := newSingleController().cfg
 	cfg.Peers = []string{"n1", "n2"}
@@ -311,8 +312,8 @@
 // TestUnresponsiveMarkLeavesTimeForSuccessor checks that a machine is not marked as
 // unresponsive before its worker has had time to find the next controller, which takes up
 // to five seconds after a crash. A marked machine has to wait for two writes of its
-// registry page. When machines were marked too early, half as many tasks again were killed
-// at the end of their lease in a scenario of crashes and short report intervals.
+// registry page. An earlier version that marked machines too early caused 50% more tasks to
+// be killed at the end of their lease in a scenario of crashes and short report intervals.
 func TestUnresponsiveMarkLeavesTimeForSuccessor(t *testing.T) {
 	for _, c := range []struct{ report, want time.Duration }{
 		{1500 * time.Millisecond, 3 * time.Second}, // two report intervals, since the lease is short
@@ -369,9 +370,9 @@
 
 // TestLeaderKeyCountsOnlyOnceWritten guards against a leader that relies on a key that
 // wasn't written. A leader that loses its key while it still has a majority of promises
-// writes the key again. When that transaction had no answer or was refused, the leader
-// renewed the new lease all the same, took it for the key, and would have acted at the
-// same time as a successor.
+// writes the key again, with a new lease. An earlier version renewed the new lease even if
+// that transaction had no answer or was refused, counted the key as written, and could act
+// at the same time as a successor.
 func TestLeaderKeyCountsOnlyOnceWritten(t *testing.T) {
 	for _, status := range []int{0, 409, 503} {
 		s := newSingleController()
@@ -405,8 +406,8 @@
 }
 
 // TestBackoffBoundedByLease checks that no backoff is longer than a lease. Without that
-// limit, a job whose tasks had failed together on one machine waited for minutes while
-// other machines had free capacity.
+// limit, a job whose tasks have failed together on one machine would wait for minutes
+// while other machines have free capacity.
 func TestBackoffBoundedByLease(t *testing.T) {
 	s := newSingleController()
 	s.cfg.ReportInterval, s.cfg.Lease = 6*time.Second, 31*time.Second
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -16,7 +16,7 @@
 	budgetOverruns   int              // rounds that exhausted their time budget
 	viewBuffer       []*sched.Machine // reused by each round
 	placementsByPath map[sched.Path]int
-	teamUsage        map[string]sched.Resources // of all bound tasks, by team
+	teamUsage        map[string]sched.Resources // quota taken by all bound tasks, by team
 	nextRoundAt      time.Duration              // no round before this time
 	nextTimedRoundAt time.Duration              // if nothing has changed, no round before this time
 	nextDrainAt      time.Duration
@@ -81,8 +81,8 @@
 // roundsPerReport limits the dispatch rounds in a worker's report interval.
 const roundsPerReport = 24
 
-// runRound runs the dispatch rule for the jobs in queue, then preempts other work and
-// drains machines for those that still wait.
+// runRound runs the dispatch rule for the jobs in queue, after preemption for hits. Then
+// it preempts other work and drains machines for the jobs that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
@@ -123,7 +123,7 @@
 		if s.budgetOverruns++; s.budgetOverruns%4 != 0 {
 			return
 		}
-		// After every fourth incomplete round, preemption and draining run all the same.
+		// After every fourth incomplete round, the steps below run all the same.
 	}
 	s.preemptForQueue(queue, env)
 	if s.now >= s.nextDrainAt {
@@ -165,8 +165,8 @@
 		}
 		j.queueEntry.Waiting = n
 		j.queueEntry.RestartMissesGoal = s.restartMissesGoal(j)
-		// Machines rented for the gang would be up by this age. When machines were
-		// reserved for it from the start, other gangs missed their start goals.
+		// Machines rented for the gang would be up by this age. If present machines were
+		// reserved for it from the start, other gangs would miss their start goals.
 		j.queueEntry.MayReserve = j.Kind == model.KindGang && s.jobAge(j) > 2*s.shortestBootTime()
 		j.queueEntry.Rank = queueRank(j)
 		if s.isStarved(j) {
@@ -185,7 +185,8 @@
 }
 
 // restartMissesGoal reports whether a task of j that has to restart halfway through
-// its run would miss the goal of its class.
+// its run would miss the goal of its class. It is false for services and gangs, for jobs
+// that save checkpoints, and for classes without a goal.
 func (s *State) restartMissesGoal(j *job) bool {
 	if j.Kind != model.KindBatch || j.CheckpointEveryS > 0 || s.cfg.Goals[j.Class] == (Goal{}) {
 		return false
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -10,8 +10,9 @@
 const drainDivisor = 16
 
 // drainMachines keeps a few machines from being refilled with small tasks while jobs
-// wait whose tasks need more capacity than any machine has free. It chooses the machines
-// that should have that capacity first.
+// wait whose tasks need more capacity than any machine has free. To drain a machine for a
+// job is to reserve it without stopping tasks. The machines that should have enough
+// capacity first are chosen.
 func (s *State) drainMachines(queue []*job, env *roundEnv) {
 	remaining := 1 + len(env.views)/drainDivisor
 	draining := s.continueDraining(env)
@@ -41,7 +42,7 @@
 		}
 		switch j := m.reservedFor; {
 		case j.queueEntry == nil || j.queueEntry.Waiting == 0:
-			m.reservedFor = nil // its tasks were placed elsewhere, or it is final
+			m.reservedFor = nil // the job's tasks were placed elsewhere, or it is final
 		case s.now < m.reservedUntil && !draining[j] && v.Capacity.Fits(j.queueEntry.Need):
 			draining[j] = true // the same machine continues to be drained
 			m.reservedUntil = s.now + s.cfg.ReportInterval
@@ -64,7 +65,7 @@
 	for _, v := range env.views {
 		m := v.Ref.(*machine)
 		if v.IsReserved() || !v.Capacity.Fits(j.queueEntry.Need) || !s.allowed(j, m) {
-			continue // draining a machine that is reserved for a gang would keep the gang off it
+			continue // draining a machine that the dispatch rule has reserved for a gang would keep the gang off it
 		}
 		if w := v.EstimateWait(s.now, j.queueEntry); w < shortestWait {
 			best, shortestWait = m, w
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -9,12 +9,12 @@
 	"mulleinfall/internal/sched"
 )
 
-// eviction chooses running tasks to stop so that waiting tasks of one job fit. It only
+// eviction chooses bound tasks to stop so that waiting tasks of one job fit. It only
 // collects them; commit stops them.
 type eviction struct {
 	s         *State
 	job       *job
-	teamUsage map[string]sched.Resources // by team, without the victims
+	teamUsage map[string]sched.Resources // quota by team, with the job's placed tasks instead of the victims
 	// victims are the tasks chosen to be stopped. They include all tasks of a gang or none.
 	victims map[*task]bool
 	// placed counts the tasks of the job that will fit on each machine so far.
@@ -24,7 +24,8 @@
 	gangWithinGuarantee bool
 }
 
-// evictionOption is a machine and the tasks to stop there so that one more task fits.
+// evictionOption is a machine and the tasks to stop there so that one more task of the
+// job fits. There are none to stop if it fits already.
 type evictionOption struct {
 	machine  *machine
 	victims  []*task
@@ -103,7 +104,8 @@
 
 // canStop reports whether t may be stopped for the job. Either t is less urgent, or the
 // job is within its team's guarantee and t belongs to another team that still uses its own
-// guarantee in full without t. freed is how much of that team's usage earlier victims free.
+// guarantee in full without t. freed is how much of that team's usage the victims picked
+// earlier for the same option free.
 func (e *eviction) canStop(t *task, freed sched.Resources) bool {
 	if t.stopping || t.job == e.job {
 		return false
@@ -153,7 +155,8 @@
 	return freed
 }
 
-// choose adds an option to the eviction.
+// choose adds an option to the eviction, so that the next options are compared as if its
+// victims were gone and the job's task were placed.
 func (e *eviction) choose(option evictionOption) {
 	if e.placed == nil {
 		// Allocated only here, since most rounds choose nothing.
@@ -187,7 +190,8 @@
 	env.markChanged(option.machine)
 }
 
-// lostWork returns the work in CPU seconds that is lost if t is stopped at once.
+// lostWork returns the work in CPU seconds that is lost if t is stopped at once: what was
+// done since its start or its last checkpoint.
 func (s *State) lostWork(t *task) float64 {
 	if t.state != model.TaskRunning {
 		return 0
@@ -204,8 +208,9 @@
 	return unsavedS * t.job.CPUs
 }
 
-// preemptFor makes capacity for up to n tasks of j, one on each machine for which suits
-// returns true, and loses as little work as possible. It returns for how many tasks.
+// preemptFor makes capacity for up to n tasks of j, at most one on each machine for which
+// suits returns true, and loses as little work as possible. It returns for how many tasks
+// it has made capacity.
 func (s *State) preemptFor(j *job, n int, suits func(*machine) bool, env *roundEnv, usage map[string]sched.Resources) int {
 	e := &eviction{s: s, job: j, teamUsage: usage}
 	reservedInZone := map[string]int{} // machines reserved for j, which count for the spread
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -21,19 +21,19 @@
 	attempt        uint64
 	started        bool          // its tasks run or ran, so that a lost task can't be replaced
 	gatheringSince time.Duration // when a task was first seen waiting for the others; 0: never
-	aborting       bool          // it is being stopped; the next one starts when its tasks are gone
+	aborting       bool          // the attempt is being stopped; the next one starts when its tasks are gone
 	// excludedHosts are the machines on which a task of this attempt has ended. They
 	// would treat another start order of this attempt as a duplicate.
 	excludedHosts map[string]bool
 
 	// When the cloud doesn't provide all machines that the gang needs, renting for it
 	// pauses until nextRentalAt. rentPauses counts the pauses, and machinesRented says
-	// whether any machine was rented for the gang since the last one.
+	// whether any machine was rented for the gang since the last pause began.
 	machinesRented bool
 	rentPauses     int
 	nextRentalAt   time.Duration
 
-	nextVictimSearchAt time.Duration // no preemption for the gang before this time
+	nextVictimSearchAt time.Duration // no search for tasks to preempt for the gang before this time
 }
 
 // isGangSchedulable reports whether tasks of j may be placed now: either all of them,
@@ -47,8 +47,9 @@
 	return !j.gang.aborting && !j.gang.started && s.canCompleteGang(j)
 }
 
-// canCompleteGang reports whether a gang whose tasks wait can still be completed: a
-// replacement must have its image before the first of the waiting tasks gives up.
+// canCompleteGang reports whether an attempt that hasn't started can still be completed:
+// a missing task, if placed now, must have its image before the first of the tasks that
+// wait for it gives up.
 func (s *State) canCompleteGang(j *job) bool {
 	return j.gang.gatheringSince == 0 || s.now+s.maxFetchTime(j)+2*s.cfg.ReportInterval < j.gang.gatheringSince+s.cfg.GangWaitTimeout
 }
@@ -64,7 +65,9 @@
 	}
 }
 
-// handleLostGangTask reacts to the loss of a gang's task.
+// handleLostGangTask reacts to the loss of a gang's task. If the attempt hasn't started
+// and no task has given up, the lost task is replaced on another machine. Otherwise the
+// attempt is aborted.
 func (s *State) handleLostGangTask(t *task, why string) {
 	g := &t.job.gang
 	switch {
@@ -92,12 +95,12 @@
 	}
 }
 
-// adoptGangTask takes over a task that was started under a former leader. Tasks of
-// different attempts never find each other, so if there are several attempts, all are
-// stopped.
+// adoptGangTask takes over a task that was started under a former leader and has been
+// bound. Tasks of different attempts never find each other, so if there are several
+// attempts, all are stopped.
 func (s *State) adoptGangTask(t *task) {
 	j := t.job
-	if len(j.tasks) == 1 {
+	if len(j.tasks) == 1 { // t is the gang's only bound task
 		j.gang = gangStatus{attempt: t.attempt}
 	} else if t.attempt != j.gang.attempt {
 		s.abortGang(j, 0)
@@ -108,9 +111,9 @@
 }
 
 // abortIncompleteGangs stops attempts that can't be completed. Either a task was lost
-// after the start, before this leader knew of it, or no machine was found for a missing
-// task while the others waited. When such gangs were kept waiting, two of them blocked
-// each other, each with half of the capacity that it needed.
+// after the start, before this leader knew that the attempt had started, or no machine
+// was found for a missing task while the others waited. If such gangs were kept waiting,
+// two of them could block each other, each with half of the capacity that it needs.
 func (s *State) abortIncompleteGangs() {
 	if s.now < s.nextGangCheckAt {
 		return
@@ -127,7 +130,7 @@
 	}
 }
 
-// recentGang is the largest gang of a class that was recently seen.
+// recentGang is the gang with the most tasks of a class that was recently seen.
 type recentGang struct {
 	job    *job
 	seenAt time.Duration
@@ -147,7 +150,7 @@
 	for _, id := range sortedKeys(s.active) {
 		j := s.active[id]
 		if j.Kind != model.KindGang || j.gang.rentPauses > 0 {
-			continue // the cloud doesn't even provide enough machines for this gang, which waits
+			continue // the cloud doesn't provide enough machines even for this gang, which waits already
 		}
 		if recent, ok := s.recentGangs[j.Class]; !ok || j.Tasks >= recent.job.Tasks || s.now-recent.seenAt > s.spareCapacityTimeout() {
 			s.recentGangs[j.Class] = recentGang{j, s.now}
--- a/internal/core/guarantee.go
+++ b/internal/core/guarantee.go
@@ -20,12 +20,13 @@
 	return usage
 }
 
-// isWithinGuarantee reports whether n more tasks of j are within its team's guarantee.
+// isWithinGuarantee reports whether n more tasks of j are within its team's guarantee,
+// given the usage of all teams. A team without a guarantee is never within it.
 func (s *State) isWithinGuarantee(j *job, n int, usage map[string]sched.Resources) bool {
 	guaranteed := s.cfg.Teams[j.Team].Guaranteed
 	if guaranteed.CPUs <= 0 && guaranteed.GPUs <= 0 {
 		return false
 	}
-	// Guarantees are given in CPUs and GPUs.
+	// Guarantees are given in CPUs and GPUs: the memory compared here is 0 on both sides.
 	return guaranteed.Fits(usage[j.Team].Add(j.quotaShare().Times(n)))
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -14,9 +14,9 @@
 // its spec is removed: only the outcome is kept for ever.
 type jobValue struct {
 	Spec        *model.Job `json:"spec,omitempty"`
-	SubmittedAt int64      `json:"at,omitempty"` // wall clock, ms
-	Phase       string     `json:"phase,omitempty"`
-	Tasks       int        `json:"tasks,omitempty"`
+	SubmittedAt int64      `json:"at,omitempty"`    // wall clock, ms
+	Phase       string     `json:"phase,omitempty"` // "" until the job is final
+	Tasks       int        `json:"tasks,omitempty"` // of a done job, whose spec is removed
 }
 
 // job is a row of the job table.
@@ -25,26 +25,26 @@
 	phase       string // "" until the job is done or cancelled
 	arrival     uint64 // revision at which it was accepted; jobs are queued in this order
 	submittedAt int64  // wall clock, ms
-	rank        int
+	rank        int    // see model.PriorityRank
 
 	doneBits    []uint64 // bitmap of the finished tasks
 	doneCount   int
-	chunks      map[int]*chunk
-	finalSeenAt time.Duration // when this controller learnt that the job is final
-	writingDone bool          // the write of phase "done" is under way
+	chunks      map[int]*chunk // sections of doneBits, which are stored separately
+	finalSeenAt time.Duration  // when this controller learnt that the job is final
+	writingDone bool           // the write of phase "done" is under way
 
 	reportedRunning int // running tasks as last received from the leader, for display
 
 	// The fields below are kept by the leader, for the current term.
 	tasks             map[int]*task  // tasks bound to a machine, by index
 	tasksByZone       map[string]int // number of bound tasks in each zone
-	nextIndex         int            // tasks from this index on haven't been started in this term
+	nextIndex         int            // takeWaitingTask hasn't come to the tasks from this index on yet
 	retryIndexes      []int          // tasks that were requeued
 	queueEntry        *sched.Job
 	runTimes          []time.Duration // of tasks that this leader saw start and finish, sorted
 	lastTaskLostAt    time.Duration   // when a task was last requeued
 	gang              gangStatus
-	consecutiveErrors int           // tasks that exited with cause "error" in a row
+	consecutiveErrors int           // tasks that exited with cause "error" or "no_such" in a row
 	retryAt           time.Duration // no task starts before this time
 }
 
@@ -80,7 +80,7 @@
 	j.writingDone = false
 }
 
-// waitingTasks returns how many tasks have no machine yet.
+// waitingTasks returns how many tasks are neither done nor bound to a machine.
 func (j *job) waitingTasks() int {
 	return max(0, j.Tasks-j.doneCount-len(j.tasks))
 }
@@ -134,7 +134,7 @@
 		delete(s.active, id)
 		s.log(slog.LevelInfo, "job finished", "job", id, "phase", value.Phase)
 		if value.Phase == model.PhaseAborted && item.ModRevision > s.termModRevision {
-			s.unacknowledged[id] = item.ModRevision
+			s.unacknowledged[id] = item.ModRevision // the leader may not know of it yet
 		}
 		if value.Phase == model.PhaseAborted {
 			s.logCancellationLearnt(j, item.ModRevision)
@@ -174,7 +174,7 @@
 	j.setDone(index)
 	s.dispatchNeeded = true
 	if j.Kind == model.KindGang {
-		// A gang's tasks complete together, so if one is done, all are. The reports of
+		// A gang's tasks complete together, so if one is done, all are. The reports on
 		// the others may never arrive if their machines can't reach the controllers.
 		for k := range j.Tasks {
 			if !j.isDone(k) {
@@ -196,8 +196,8 @@
 }
 
 // finishJob writes phase "done" to the state service and removes as many of the job's
-// bitmaps as fit the same transaction. If the job is cancelled at the same time, the
-// precondition on the key decides which of the two holds.
+// bitmaps as fit into the same transaction; others stay there. If the job is cancelled at
+// the same time, the precondition on the job's key decides whether it is done or cancelled.
 func (s *State) finishJob(j *job) {
 	if j.writingDone || !s.IsLeader() {
 		return
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -7,7 +7,7 @@
 	"mulleinfall/internal/sched"
 )
 
-// Preemption: running tasks are stopped and their machines reserved for tasks that wait.
+// Preemption: tasks are stopped and their machines reserved for other tasks that wait.
 
 // preemptForQueue makes capacity for jobs that still wait. Prod work, gangs and teams
 // within their guarantee may stop work of lower priority, and teams within their
@@ -61,9 +61,9 @@
 	return m.reservedFor == j && !m.draining && s.now < m.reservedUntil
 }
 
-// preemptForHits makes capacity for prod work on machines that hold its image if
+// preemptForHits makes capacity for prod work on machines that have its image (hits) if
 // fetching the image would take longer than the start goal of its class allows. The
-// dispatch rule compares the wait for a machine that holds the image with a fetch
+// dispatch rule compares the wait for a machine that has the image with a fetch
 // elsewhere, but doesn't know that preemption makes that wait short. The result is how
 // many tasks of each job the dispatch rule must leave for the capacity made here.
 func (s *State) preemptForHits(queue []*job, env *roundEnv) map[*job]int {
@@ -104,7 +104,7 @@
 }
 
 // isFetchTooLong reports whether j can still reach the start goal of its class, but not
-// if it has to fetch its image. When a task is requeued, the goal counts again from then.
+// if it has to fetch its image. If a task was requeued, the goal counts from the last time.
 func (s *State) isFetchTooLong(j *job) bool {
 	goal := s.cfg.Goals[j.Class].StartWithin
 	remaining := goal - s.jobAge(j)
--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -9,7 +9,8 @@
 	"mulleinfall/internal/sched"
 )
 
-// compareOptions orders options by lost work, then by name of the machine.
+// compareOptions orders eviction options (a machine and the tasks to stop there) by lost
+// work, then by name of the machine.
 func compareOptions(a, b evictionOption) int {
 	return cmp.Or(cmp.Compare(a.lostWork, b.lostWork), strings.Compare(a.machine.host, b.machine.host))
 }
@@ -32,8 +33,9 @@
 	return option
 }
 
-// victimSearchesPerReport limits how often victims for a gang are searched for in a worker's
-// report interval: little changes between reports.
+// victimSearchesPerReport limits how often victims for a gang are searched for in a
+// worker's report interval. More searches would rarely find another result, since little
+// changes between reports.
 const victimSearchesPerReport = 6
 
 // gangEviction is an eviction after which all waiting tasks of a gang fit.
@@ -52,7 +54,8 @@
 	if s.now < j.gang.nextVictimSearchAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
-	// A search of the fleet for each gang in each round would use up the rounds' time.
+	// A search of the fleet for each gang in each round would use up the time budget of
+	// the rounds.
 	j.gang.nextVictimSearchAt = s.now + s.cfg.ReportInterval/victimSearchesPerReport
 	var best *gangEviction
 	for _, zone := range candidateZones(j, env.views) {
@@ -73,8 +76,9 @@
 	maps.Copy(usage, best.teamUsage)
 }
 
-// candidateZones lists the zones in which capacity for a gang is searched for one after
-// another. The zone "" stands for all zones together.
+// candidateZones lists the zones in which capacity for the whole gang is looked for, one
+// after another. If it may use several zones at once, the list is only "", which stands
+// for all zones together.
 func candidateZones(j *job, views []*sched.Machine) []string {
 	if !j.OneZone {
 		return []string{""}
@@ -86,8 +90,9 @@
 	return sortedKeys(zones)
 }
 
-// planEvictionInZone chooses victims so that n tasks of j fit in a zone, those with the least
-// lost work first. The zone "" stands for all zones. It returns nil if the tasks can't fit.
+// planEvictionInZone chooses victims so that n tasks of j fit in a zone, those with the
+// least lost work first, and stops none of them. The zone "" stands for all zones. The
+// result is nil if the tasks can't fit.
 func (s *State) planEvictionInZone(j *job, n int, zone string, env *roundEnv, usage map[string]sched.Resources) *gangEviction {
 	e := &gangEviction{eviction: eviction{s: s, job: j, teamUsage: maps.Clone(usage), gangWithinGuarantee: s.isWithinGuarantee(j, n, usage)}}
 	machines := s.eligibleMachines(j, n, zone, env)
@@ -104,8 +109,8 @@
 		if j.Spread && j.tasksByZone[option.machine.zone]+addedInZone[option.machine.zone] >= j.MaxTasksPerZone() {
 			continue
 		}
-		// Options chosen since this one was added may have changed its lost work, or its
-		// victims may no longer be stopped.
+		// Options chosen since this one was added may have changed its lost work, or may
+		// have brought a team down to its guarantee, so that its victims must not be stopped.
 		current, ok := e.cheapestOption(option.machine)
 		if !ok {
 			continue
--- a/internal/core/spare_capacity.go
+++ b/internal/core/spare_capacity.go
@@ -11,9 +11,9 @@
 type spareCapacity struct {
 	s            *State
 	returnsLeft  int  // idle machines that may still be returned in this pass
-	service      *job // the largest active prod service; nil: none
+	service      *job // see largestService; nil: none
 	serviceTasks int  // tasks of the service that fit on the free capacity
-	gang         *job // see spareGang
+	gang         *job // see spareGang; nil: none
 	gangZone     string
 	gangTasks    int // tasks of the gang that fit on the free capacity in gangZone
 }
@@ -32,8 +32,9 @@
 	return r
 }
 
-// allowReturn reports whether the idle machine m may be returned. If so, it subtracts m's
-// capacity from the spare capacity.
+// allowReturn reports whether the idle machine m may be returned: the limit on returns
+// allows it, and m isn't needed for the spare capacity, that is for SpareServices tasks of
+// the service and for SpareGangs gangs. If so, m's capacity no longer counts as spare.
 func (r *spareCapacity) allowReturn(m *machine) bool {
 	serviceTasks, gangTasks := r.s.serviceTasksThatFit(m, r.service), 0
 	if r.gang != nil && m.zone == r.gangZone {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -29,9 +29,11 @@
 	}
 	switch {
 	case s.sinceStoreContact() > s.storeContactTimeout() && forward():
+		// A peer that reaches the state service has the request now.
 	case s.isWriteQueueFull():
 		s.replyRetryLater(from, "too many submissions under way")
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
+		// With no such peer, the write is still tried until the second timeout.
 		s.replyRetryLater(from, "the state service does not answer")
 	default:
 		s.storeJob(from, spec.ID, value, forward)
@@ -39,7 +41,7 @@
 }
 
 // permanentRefusal returns the status and the reason with which a job is refused for
-// good, or status 0 if it isn't.
+// good, or status 0 if it isn't. bytes is the size of the value that would be stored.
 func (s *State) permanentRefusal(spec *model.Job, bytes int) (status int, why string) {
 	if spec.Kind == model.KindGang && s.cfg.GangWaitTimeout == 0 {
 		return 400, "shape: gangs are not set up here"
@@ -69,6 +71,7 @@
 			case result == conflict && j != nil:
 				s.replyWithStatus(from, j) // accepted before, by another controller or in an earlier try
 			case result == conflict:
+				// The key has a new value, but the replica couldn't read a job from it.
 				s.replyRetryLater(from, "try again")
 			case !forward():
 				s.replyRetryLater(from, "the state service does not answer")
@@ -108,7 +111,7 @@
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	tasksAtOnce := 1.0
+	tasksAtOnce := 1.0 // batch tasks may run one after another, those of other jobs run all at once
 	if j.Kind != model.KindBatch {
 		tasksAtOnce = float64(j.Tasks)
 	}
@@ -120,6 +123,7 @@
 	if j.OneZone {
 		zoneCount = min(zoneCount, 1)
 	}
+	// zoneCount is 0 if no type that fits lists its zones. Then the spread isn't checked.
 	if j.Kind == model.KindGang && zoneCount > 0 && j.Tasks > zoneCount*j.MaxTasksPerZone() {
 		return "the gang's tasks can't be spread over the zones at the same time"
 	}
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -27,9 +27,9 @@
 	startSentSeq          uint64 // number of the report in whose answer it was last sent; 0: in none
 	unconfirmedStartEpoch uint64 // epoch of a start by direct command whose outcome is unknown
 
-	state           string        // as last reported
+	state           string        // as last reported; "": not reported yet
 	runningSince    time.Duration // when it was first reported running
-	inherited       bool          // started before this leader saw it
+	inherited       bool          // started under a former leader
 	stopping        bool          // it is to be stopped
 	graceS          float64       // seconds that it has for a checkpoint when it is stopped
 	stopRequestedAt time.Duration // when the stop was decided; 0 once it was sent by direct command
@@ -112,7 +112,9 @@
 	}
 }
 
-// stopBeforeReclaim stops the tasks on machines that the cloud is about to reclaim.
+// stopBeforeReclaim stops the tasks on machines that the cloud is about to reclaim: at
+// once if a task can neither finish nor save its work, otherwise when there is just enough
+// time left for a checkpoint.
 func (s *State) stopBeforeReclaim() {
 	for _, m := range s.machinesByName {
 		if m.reclaimAt == 0 || !m.reconciled {
@@ -133,9 +135,9 @@
 	}
 }
 
-// runsBeyond reports whether t saves no checkpoints and will run beyond at, even if it
-// takes only three quarters of the expected time. A task that the worker has reported
-// but that isn't running yet counts as running beyond at.
+// runsBeyond reports whether t is a batch task that saves no checkpoints and will run
+// beyond the time at, even if it takes only three quarters of the expected time. If it
+// isn't running yet, it counts as running beyond at once the worker has reported it.
 func (s *State) runsBeyond(t *task, at time.Duration) bool {
 	if t.job.Kind != model.KindBatch || t.job.CheckpointEveryS > 0 {
 		return false
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -107,6 +107,7 @@
 	forward := func() bool { return s.forwardToPeer(from, "withdraw", id, nil, 0) }
 	switch {
 	case s.sinceStoreContact() > s.storeContactTimeout() && forward():
+		// A peer that reaches the state service has the request now.
 	case s.jobs[id] == nil:
 		s.cancelUnknown(from, id)
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -11,9 +11,9 @@
 
 // The dispatch rule's view of machines and jobs.
 
-// isUsable reports whether m may be given new tasks. It may not while the state service
-// may still record m as unresponsive: if the worker has started a new session since then,
-// a successor wouldn't know of the lease of that session.
+// isUsable reports whether m may be given new tasks. One of the conditions is that the
+// state service certainly doesn't record m as unresponsive: while it does, a successor
+// wouldn't know of the lease of a session that the worker has started since.
 func (s *State) isUsable(m *machine) bool {
 	return m.reconciled && m.registered && m.storedUnresponsiveSince == 0 && !m.leaseExpired && !m.slow && !m.returning && !m.reachability.unreachable && m.reclaimAt == 0 && m.machineType != nil &&
 		s.now >= m.backoffUntil && s.now-m.lastReplyAt < s.maxReportGap()
@@ -84,10 +84,9 @@
 type roundEnv struct {
 	s               *State
 	views           []*sched.Machine
-	changedMachines []*machine // in order of the first change
-	// gangTasks are the tasks of gangs that were placed in this round.
-	gangTasks []*task
-	elapsed   func() time.Duration
+	changedMachines []*machine           // in order of the first change
+	gangTasks       []*task              // tasks of gangs that were placed in this round, for Undo
+	elapsed         func() time.Duration // since the start of the round
 }
 
 // BudgetExhausted implements sched.Env.
@@ -108,8 +107,9 @@
 }
 
 // allowed reports whether a task of j may be placed on m now. It checks m's reservation,
-// type and zone, whether j may use spot machines, and the zones and hosts of j's other
-// tasks, but not free capacity. A task that may still be on a machine counts as being
+// type and zone, whether j may use spot machines, the zones of j's other tasks, and the
+// hosts that a gang's attempt excludes, but not free capacity. Prod work may use a machine
+// that is drained for another job. A task that may still be on a machine counts as being
 // there.
 func (s *State) allowed(j *job, m *machine) bool {
 	if m.reservedFor != nil && m.reservedFor != j && s.now < m.reservedUntil && (!m.draining || j.rank != model.PriorityRank(model.PriorityProd)) {
@@ -208,8 +208,8 @@
 	return true
 }
 
-// Undo reverts the placements of a gang that doesn't fit as a whole. No order for them
-// has been sent yet. It implements sched.Env.
+// Undo reverts the placements of a gang that doesn't fit as a whole. Orders are sent only
+// after the round, so none has been sent for them. It implements sched.Env.
 func (e *roundEnv) Undo(entry *sched.Job) {
 	j := entry.Ref.(*job)
 	e.gangTasks = slices.DeleteFunc(e.gangTasks, func(t *task) bool {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -9,8 +9,8 @@
 // what each task needs. Fields whose names end in S are in seconds.
 type Job struct {
 	ID               string   `json:"id"`
-	Class            string   `json:"lane"`
-	Team             string   `json:"owner"`
+	Class            string   `json:"lane"`  // decides which goals for starting and finishing apply
+	Team             string   `json:"owner"` // whose guarantee and limit apply
 	Kind             string   `json:"shape"`
 	Priority         string   `json:"rank"`
 	Tasks            int      `json:"pieces"`
@@ -32,9 +32,9 @@
 
 // Values of Job.Kind and Job.Priority.
 const (
-	KindBatch   = "batch"
-	KindService = "service"
-	KindGang    = "gang" // its tasks run all at the same time or not at all
+	KindBatch   = "batch"   // its tasks run independently, each until it is done
+	KindService = "service" // its tasks run until the job is cancelled
+	KindGang    = "gang"    // its tasks run all at the same time or not at all
 
 	PriorityProd   = "prod"
 	PriorityHigh   = "high"
@@ -42,7 +42,8 @@
 	PriorityLow    = "low"
 )
 
-// PriorityRank maps a priority to its rank: 0 is the most urgent.
+// PriorityRank maps a priority to its rank: 0 is the most urgent, and 3 stands for
+// PriorityLow.
 func PriorityRank(priority string) int {
 	switch priority {
 	case PriorityProd:
@@ -60,21 +61,21 @@
 	PhaseQueued  = "queued"
 	PhaseRunning = "running"
 	PhaseDone    = "done"
-	PhaseAborted = "aborted"
+	PhaseAborted = "aborted" // the job was cancelled
 )
 
-// MachineType describes a type of machine that the cloud rents out.
+// MachineType describes a type of machine that the cloud rents out. Prices are per hour.
 type MachineType struct {
 	Name        string   `json:"label"`
 	CPUs        float64  `json:"cpus"`
 	GPUs        float64  `json:"cards"`
 	MemoryGB    float64  `json:"memoryGb"`
-	CacheGB     float64  `json:"localGb"`
+	CacheGB     float64  `json:"localGb"` // size of the image cache
 	FetchGBPerS float64  `json:"fetchGbPerS"`
 	Price       float64  `json:"price"`
 	SpotPrice   float64  `json:"marketPrice"`
-	BootS       float64  `json:"bootS"`
-	Zones       []string `json:"sites"`
+	BootS       float64  `json:"bootS"` // how long it takes to boot, in seconds
+	Zones       []string `json:"sites"` // where it is offered
 }
 
 // FitsTask reports whether one task of j fits an empty machine of this type.
@@ -120,20 +121,20 @@
 
 // Task states and exit causes in worker reports.
 const (
-	TaskFetching  = "pulling"
+	TaskFetching  = "pulling"   // its image is being fetched
 	TaskGathering = "gathering" // a gang's task waits for the other tasks of its attempt
 	TaskRunning   = "running"
-	TaskSaving    = "saving"
+	TaskSaving    = "saving" // the task was told to stop, and saves a checkpoint first
 	TaskExited    = "exited"
 
 	CauseDone           = "done"
-	CauseStopped        = "halted"
+	CauseStopped        = "halted" // by a kill order
 	CauseError          = "error"
-	CauseNoCapacity     = "full"
-	CauseInUse          = "in_use"
-	CauseNoSuchTask     = "no_such"
-	CausePeerLost       = "peers" // another task of the same gang is gone
-	CauseGangIncomplete = "alone" // the gang's other tasks did not all arrive in time
+	CauseNoCapacity     = "full"    // the start was refused
+	CauseInUse          = "in_use"  // the start was refused
+	CauseNoSuchTask     = "no_such" // the start was refused
+	CausePeerLost       = "peers"   // another task of the same gang is gone
+	CauseGangIncomplete = "alone"   // the gang's other tasks did not all arrive in time
 )
 
 // IsKnownCause reports whether cause is one of the causes above.
@@ -155,7 +156,8 @@
 }
 
 // Report is a worker's report on itself and its tasks. Reports are numbered by Seq. A
-// new Session begins when the worker's lease has expired, which ends all its tasks.
+// new Session begins when the worker's lease has expired, which ends all its tasks. Epoch
+// is the highest epoch of a leader's answers and commands that the worker has seen.
 type Report struct {
 	Host       string       `json:"host"`
 	Endpoint   string       `json:"endpoint"`
@@ -173,7 +175,7 @@
 const (
 	OrderStart  = "start"
 	OrderKill   = "kill"
-	OrderForget = "forget"
+	OrderForget = "forget" // an exited attempt, which the worker then no longer reports
 )
 
 // Order tells a worker what to do with one attempt of a task.
@@ -181,7 +183,7 @@
 	Verb    string   `json:"verb"`
 	Task    string   `json:"piece"`
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"windDownS,omitempty"`
+	GraceS  *float64 `json:"windDownS,omitempty"` // of a kill order: seconds for a checkpoint; 0: none
 }
 
 // ListedMachine is a machine as listed by the cloud.
@@ -191,6 +193,6 @@
 	Type     string  `json:"flavor"`
 	Zone     string  `json:"site"`
 	Spot     bool    `json:"loaners"`
-	State    string  `json:"phase"`
-	AgeS     float64 `json:"ageS"`
+	State    string  `json:"phase"` // starting, running or failed
+	AgeS     float64 `json:"ageS"`  // seconds since it was rented
 }
