--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -81,8 +81,8 @@
 // roundsPerReport limits the dispatch rounds in a worker's report interval.
 const roundsPerReport = 24
 
-// runRound runs the dispatch rule for the jobs in queue, after preemption for hits. Then
-// it preempts other work and drains machines for the jobs that still wait.
+// runRound runs the dispatch rule for the jobs in queue, after preemptForHits. Then it
+// preempts other work and drains machines for the jobs that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -136,10 +136,12 @@
 	seenAt time.Duration
 }
 
-// spareGang returns the gang for which spare capacity is kept, or nil. It is the
-// largest recent gang among the classes whose start goal is at most one and a half times
-// the shortest boot time, so that machines rented only on its arrival would come too
-// late. The spare gang must fit in one zone, which may be any.
+// spareGang returns the gang for which spare capacity is kept, or nil. It stands for the
+// next gang to arrive, and is like the recent gang that needs the most CPUs. Only classes
+// count whose start goal is at most one and a half times the shortest boot time, so that
+// machines rented on the arrival of the gang would come too late. Gangs for which the
+// cloud doesn't provide enough machines are left out. The spare gang must fit in one
+// zone, which may be any.
 func (s *State) spareGang() *job {
 	if s.cfg.SpareGangs == 0 || s.cfg.GangWaitTimeout == 0 {
 		return nil
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -6,7 +6,8 @@
 
 // submit handles a submission. A job is refused for good (400 or 422) only when it is
 // certain that no job with its id was accepted before: an accepted job must not be
-// refused because a limit was lowered or this replica lags behind.
+// refused because a limit was lowered or because this controller's replica of the stored
+// state lags behind.
 func (s *State) submit(from requester, spec model.Job, wallMs int64) {
 	if len(s.types) == 0 {
 		s.replyRetryLater(from, "machine types are not known yet")
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -8,7 +8,8 @@
 )
 
 // Tasks: a task is bound to a machine before it is started, and unbound once it
-// certainly no longer runs there.
+// certainly no longer runs there. Start and stop orders reach the worker in the answer to
+// its report or, sooner, by a direct command.
 
 // task is a task that is bound to a machine: it runs there, or it may. It is unbound
 // only when the machine reports that the attempt has ended or never started, when the
@@ -18,7 +19,7 @@
 	job     *job
 	index   int
 	name    string
-	attempt uint64
+	attempt uint64 // number of this start of the task, or of the gang of which it is a part
 	machine *machine
 	session uint64 // session of the worker when the task was bound
 	zone    string // zone of the machine when the task was bound
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -37,7 +37,8 @@
 	return float64(waiting) >= float64(s.writeRate.Limit())*userRequestTimeout.Seconds()+float64(s.cfg.MaxTxnOps)
 }
 
-// replyToUser answers a user's request, through the peer that forwarded it if there is one.
+// replyToUser answers a user's request, through the peer (another controller) that
+// forwarded it if there is one.
 func (s *State) replyToUser(from requester, status int, body any, retry int) {
 	if from.peer != "" {
 		s.emit(PeerOut{from.peer, PeerMsg{Kind: MsgForwardReply, Ask: from.forwardID, Status: status, Value: mustMarshal(body), Retry: retry}})
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -20,7 +20,7 @@
 	Need              Resources
 	Image             string
 	ImageGB           float64
-	Estimate          time.Duration // expected run time of a task; 0 for services
+	Estimate          time.Duration // expected run time of a task; without meaning for services
 	IsService         bool          // runs until it is cancelled
 	IsGang            bool          // starts only when all its tasks fit now
 	OneZone           bool          // all tasks must be in one zone; used for gangs, and left to Env.Allowed for others
