--- a/internal/core/preempt_gang.go
+++ b/internal/core/preempt_gang.go
@@ -51,6 +51,7 @@
 // enough free capacity.
 func (s *State) preemptForGang(j *job, env *roundEnv, usage map[string]sched.Resources) {
 	n := j.queueEntry.Waiting
+	// A gang with machines reserved by an earlier search waits for those.
 	if s.now < j.gang.nextVictimSearchAt || s.countReserved(j) > 0 || !s.isWithinLimit(j, n) {
 		return
 	}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -25,7 +25,8 @@
 const userRequestTimeout = 2 * time.Second
 
 // isWriteQueueFull reports whether so many users' changes are queued that another one
-// would time out before it is written. Such a request is refused at once.
+// would time out before it is written: as many as the write rate allows in that time, plus
+// one transaction. Such a request is refused at once.
 func (s *State) isWriteQueueFull() bool {
 	waiting := 0
 	for _, w := range s.queue {
@@ -66,9 +67,9 @@
 }
 
 // updateIsolation updates and returns whether this controller is isolated. It becomes
-// isolated when it has reached neither the state service nor another controller for a
-// while, so that users are better served elsewhere. It remains isolated until it has
-// reached the state service for a while again.
+// isolated when it has reached neither the state service nor another controller for two
+// store contact timeouts, so that users are better served elsewhere. It remains isolated
+// until it has reached the state service for one such timeout again.
 func (s *State) updateIsolation() bool {
 	timeout := s.storeContactTimeout()
 	if s.sinceStoreContact() <= timeout {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -152,7 +152,7 @@
 	Attempt uint64 `json:"try"`
 	State   string `json:"phase"`
 	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+	Saved   bool   `json:"saved,omitempty"` // a checkpoint was saved before the exit
 }
 
 // Report is a worker's report on itself and its tasks. Reports are numbered by Seq. A
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -6,7 +6,8 @@
 )
 
 // Dispatcher places waiting tasks on machines in rounds. A round that exhausts its
-// time budget is continued by the next call of RunRound at the job where it stopped.
+// time budget is continued by the next call of RunRound at the job where it stopped, or
+// at the first job if that one has left the queue.
 type Dispatcher struct {
 	cfg         Config
 	isResuming  bool
