--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,5 +1,5 @@
 // Package sched decides which waiting task goes to which machine
-// (docs/design.md). Jobs wait in one global queue in order of arrival, and each
+// (docs/design.md). Jobs wait in one global queue by rank, then by arrival, and each
 // machine has a local queue. A task preferably goes to a free machine that
 // already has its image (a hit), even ahead of earlier tasks, which are skipped
 // then. A job that has been skipped as often as the skip limit allows takes any free
@@ -23,7 +23,7 @@
 	Estimate          time.Duration // expected run time of a task; without meaning for services
 	IsService         bool          // runs until it is cancelled
 	IsGang            bool          // starts only when all its tasks fit now
-	OneZone           bool          // all tasks must be in one zone; used for gangs, and left to Env.Allowed for others
+	OneZone           bool          // all tasks must be in one zone: each zone is tried for a gang, and Env.Allowed checks it
 	MayReserve        bool          // a gang for which machines may be reserved
 	RestartMissesGoal bool          // a task that has to restart would miss the goal of its class
 	Waiting           int           // tasks in the global queue
