--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -25,7 +25,8 @@
 const userRequestTimeout = 2 * time.Second
 
 // isWriteQueueFull reports whether so many users' changes are queued that another one
-// would time out before it is written. Such a request is refused at once.
+// would time out before it is written: as many as the write rate allows in that time, plus
+// one transaction. Such a request is refused at once.
 func (s *State) isWriteQueueFull() bool {
 	waiting := 0
 	for _, w := range s.queue {
@@ -37,7 +38,8 @@
 	return float64(waiting) >= float64(s.writeRate.Limit())*userRequestTimeout.Seconds()+float64(s.cfg.MaxTxnOps)
 }
 
-// replyToUser answers a user's request, through the peer that forwarded it if there is one.
+// replyToUser answers a user's request, through the peer (another controller) that
+// forwarded it if there is one.
 func (s *State) replyToUser(from requester, status int, body any, retry int) {
 	if from.peer != "" {
 		s.emit(PeerOut{from.peer, PeerMsg{Kind: MsgForwardReply, Ask: from.forwardID, Status: status, Value: mustMarshal(body), Retry: retry}})
@@ -65,9 +67,9 @@
 }
 
 // updateIsolation updates and returns whether this controller is isolated. It becomes
-// isolated when it has reached neither the state service nor another controller for a
-// while, so that users are better served elsewhere. It remains isolated until it has
-// reached the state service for a while again.
+// isolated when it has reached neither the state service nor another controller for two
+// store contact timeouts, so that users are better served elsewhere. It remains isolated
+// until it has reached the state service for one such timeout again.
 func (s *State) updateIsolation() bool {
 	timeout := s.storeContactTimeout()
 	if s.sinceStoreContact() <= timeout {
@@ -107,6 +109,7 @@
 	forward := func() bool { return s.forwardToPeer(from, "withdraw", id, nil, 0) }
 	switch {
 	case s.sinceStoreContact() > s.storeContactTimeout() && forward():
+		// A peer that reaches the state service has the request now.
 	case s.jobs[id] == nil:
 		s.cancelUnknown(from, id)
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
--- a/internal/sched/reference_rule_test.go
+++ b/internal/sched/reference_rule_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// referenceRule applies the dispatch rule of the design task by task and machine by
-// machine. It is slow, and the Dispatcher with its ranking must decide the same.
+// referenceRule applies the dispatch rule (see the package comment) task by task and
+// machine by machine, without gangs. It is slow, and the Dispatcher with its ranking must
+// decide the same.
 type referenceRule struct{ cfg Config }
 
 func (r referenceRule) run(now time.Duration, jobs []*Job, machines []*Machine, env Env) {
@@ -21,10 +22,11 @@
 		dispatcher.serveLocalQueue(now, m, env)
 	}
 	for _, j := range jobs {
-		j.hasReservation = false
+		j.reservationTried = false
 	}
 	for i, j := range jobs {
-		// If no machine is free for the job, no machine is reserved for the jobs ahead of it.
+		// If no machine is free for the job, none of its tasks is placed. So it skips no
+		// job ahead of it, and no machine is reserved for one.
 		ahead := jobs[:i]
 		if !slices.ContainsFunc(machines, func(m *Machine) bool { return !m.reserved && m.Free.Fits(j.Need) && env.Allowed(j, m) }) {
 			ahead = nil
@@ -34,10 +36,12 @@
 	}
 }
 
+// placeOne places one task of j, or lets it join a local queue. It returns false if the
+// task could do neither.
 func (r referenceRule) placeOne(dispatcher *Dispatcher, now time.Duration, ahead []*Job, j *Job, machines []*Machine, env Env) bool {
-	passed := earlierJobs(ahead, j, env)
-	for _, a := range passed {
-		if a.Skips >= r.cfg.SkipLimit && !a.hasReservation {
+	skipped := earlierJobs(ahead, j, env)
+	for _, a := range skipped {
+		if a.Skips >= r.cfg.SkipLimit && !a.reservationTried {
 			dispatcher.reserveMachine(now, a, machines, env)
 		}
 	}
@@ -54,7 +58,7 @@
 			if delay := m.fetchTime(now, j); free == nil || delay < fetchDelay || delay == fetchDelay && isBetter(m, free, j) {
 				free, fetchDelay = m, delay
 			}
-		case m.holdsImage(j):
+		case m.hasOrFetchesImage(j):
 			if wait := m.EstimateWait(now, j); wait < Never {
 				if delay := max(wait, m.fetchTime(now, j)); delay < holderDelay {
 					holder, holderDelay = m, delay
@@ -65,12 +69,12 @@
 	atLimit := j.Skips >= r.cfg.SkipLimit
 	path, target := Path(""), hit
 	switch {
-	case hit != nil && len(passed) > 0:
+	case hit != nil && len(skipped) > 0:
 		path = PathSkipHit
 	case hit != nil:
 		path = PathHit
 	case free == nil:
-		if atLimit && !j.hasReservation {
+		if atLimit && !j.reservationTried {
 			dispatcher.reserveMachine(now, j, machines, env)
 		}
 		return false
@@ -80,7 +84,7 @@
 		holder.LocalQueue = append(holder.LocalQueue, QueuedTask{Job: j, WaitDeadline: now + max(holderDelay, time.Second)})
 		j.Waiting--
 		return true
-	case len(passed) > 0:
+	case len(skipped) > 0:
 		path, target = PathPassMiss, free
 	default:
 		path, target = PathFetch, free
@@ -88,13 +92,14 @@
 	if !env.Place(j, target, path) {
 		return false
 	}
-	for _, a := range passed {
+	for _, a := range skipped {
 		a.Skips++
 	}
 	return true
 }
 
-// randomFleet is a random fleet with jobs, small enough to simulate twice.
+// randomFleet is a random fleet with jobs, small enough to simulate twice. It implements
+// Env and records the decisions.
 type randomFleet struct {
 	scriptedDispatcher
 	zoneOf      map[*Machine]int
@@ -119,7 +124,7 @@
 		end = f.now + j.Estimate
 	}
 	m.AddRunning(RunningTask{j.Need, end})
-	if !m.holdsImage(j) {
+	if !m.hasOrFetchesImage(j) {
 		m.Fetching = append(m.Fetching, Fetch{j.Image, j.ImageGB, f.now})
 	}
 	fmt.Fprintf(&f.output, "%s -> %s (%s)\n", j.ID, m.ID, path)
