--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -12,22 +12,25 @@
 // before that, and when a takeover is complete.
 
 // takeoverState is the progress of a new leader in accounting for the registered
-// machines.
+// machines. A machine is accounted for when it has listed its tasks in this term, or
+// certainly holds none from before the term.
 type takeoverState struct {
 	takeoverComplete bool       // every task of jobs from before this term is accounted for
 	scanNext         int        // index in machinesByName: the machines before it are accounted for
 	scanCount        int        // checks of machines so far, for MachinesScanned
-	unaccountedFor   []*machine // machines not accounted for in the current dispatch round
+	unaccountedFor   []*machine // machines not accounted for, as of the current dispatch round
 }
 
 // leaseEndsAt is when m's lease has certainly expired, if no controller renews it
-// again. The margin is four times the bound on clock drift, and 1/32 of a lease.
+// again. The margin is four times the bound on the clock drift during a lease, plus 1/32
+// of a lease.
 func (s *State) leaseEndsAt(m *machine) time.Duration {
 	lease := s.cfg.Lease
 	return m.lastReplyAt + lease + time.Duration(float64(lease)*4*ClockDrift) + lease/32
 }
 
-// expireLeases unbinds the tasks of machines whose lease has certainly expired.
+// expireLeases unbinds the tasks of machines whose lease has certainly expired, and forgets
+// their orphaned tasks (tasks on them that this leader has not bound to them).
 func (s *State) expireLeases() {
 	for _, m := range s.machinesByName {
 		if m.leaseExpired || !m.registered || s.now < s.leaseEndsAt(m) {
@@ -52,8 +55,9 @@
 // MachinesScanned is how many checks of single machines the takeover has taken so far.
 func (s *State) MachinesScanned() int { return s.scanCount }
 
-// checkTakeoverComplete completes the takeover once every task of older jobs is
-// accounted for: each registered machine has listed its tasks in this term, or is gone.
+// checkTakeoverComplete completes the takeover once every task of jobs from before this
+// term is accounted for: each registered machine has listed its tasks in this term, its
+// lease has expired, or it was removed.
 func (s *State) checkTakeoverComplete() {
 	if s.takeoverComplete || !s.IsLeader() {
 		return
@@ -75,11 +79,12 @@
 	s.log(slog.LevelInfo, "all machines accounted for", "term", s.leadership.Term)
 }
 
-// hasOverdueCancelledTasks says whether m still holds tasks of a cancelled job after
-// three fifths of the time allowed by cancel_s. Such a machine is returned, which ends
-// the tasks whatever delays their stop. A new leader gets up to two report intervals to
-// stop them first, but the time counts from the cancellation: counted from the election,
-// a late change of leader delayed the return until long after cancel_s.
+// hasOverdueCancelledTasks says whether m still holds tasks of a cancelled job when three
+// fifths of the time allowed by cancel_s have passed. Such a machine is returned, which
+// ends the tasks whatever delays their stop. A new leader first gets two report intervals,
+// or that time if it is shorter, to stop them. The time counts from when this controller
+// learnt of the cancellation. Counted from the election, a late change of leader would
+// delay the return until long after cancel_s.
 func (s *State) hasOverdueCancelledTasks(m *machine) bool {
 	limit := s.cfg.CancelWithin * 3 / 5
 	minTermAge := min(limit, 2*s.cfg.ReportInterval)
@@ -100,10 +105,10 @@
 	return false
 }
 
-// wasReclaimed says whether the cloud has reclaimed m, as its notice announced: the time
-// is over by a second, and m has not reported since. Such a machine is returned by name,
-// which makes certain that it is gone. Then its tasks need not wait until its lease
-// expires, nor the older jobs of a new leader until it reports.
+// wasReclaimed says whether the cloud has reclaimed m, as its notice announced: that was
+// due a second ago, and m has not reported since it was due. Such a machine is returned by
+// name, which makes certain that it is gone. Then its tasks need not wait until its lease
+// expires, nor jobs from before the term until it reports.
 func (s *State) wasReclaimed(m *machine) bool {
 	return m.reclaimAt != 0 && s.now >= m.reclaimAt+time.Second && m.lastHeardAt < m.reclaimAt
 }
@@ -112,10 +117,11 @@
 // controller that is down to the next: 4 s without an answer, then 1 s (PROTOCOL).
 const workerFailoverTimeout = 5 * time.Second
 
-// reportTimeout is how long a machine may go without a report before it counts as gone:
-// the time that a worker needs to switch to another controller, but at least lower and
-// at most upper, which the caller derives from the report interval. With a shorter time,
-// many machines that were still switching lost their leases after a controller's crash.
+// reportTimeout is how long a machine may go without a report before it is marked as
+// unresponsive in the registry or, by a new leader, presumed lost. It is the time that a
+// worker needs to switch to another controller, but at least lower and at most upper, which
+// the caller derives from the report interval. With a shorter time, many machines that are
+// still switching after a controller's crash would lose their leases.
 func (s *State) reportTimeout(lower, upper time.Duration) time.Duration {
 	return max(lower, min(upper, workerFailoverTimeout))
 }
@@ -123,10 +129,11 @@
 // isPresumedLost says whether m, which has not been heard of in this term, is given up
 // although its lease may still run. That is so when it did not answer a command, has had
 // the time to find this controller, and at most 1/32 of the reachable machines are
-// unaccounted for. Older jobs wait until all machines are accounted for; without this
-// rule, a few machines that failed together with the former leader would delay all of
-// these jobs by a lease. Machines in unreachable zones are not counted: when they were,
-// with one of three zones cut off, nine machines delayed all older jobs of the other two.
+// unaccounted for. Jobs from before this term wait until all machines are accounted for;
+// without this rule, a few machines that failed together with the former leader would
+// delay all of these jobs by a lease. Machines in unreachable zones are not counted. When
+// an earlier version counted them and one of three zones was cut off, nine machines delayed
+// all such jobs in the other two.
 func (s *State) isPresumedLost(m *machine) bool {
 	return s.isUnaccounted(m) && m.session == 0 && m.hasUnansweredCommand &&
 		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
@@ -136,8 +143,8 @@
 // hold: m has a service of the highest priority, or a task of a gang, whose other tasks
 // wait until this one has ended; m has listed its tasks in this term, but has been silent
 // for half a lease; the term has lasted for a lease; and most machines report, so that
-// this controller is not at fault. Returning the machine takes less time than waiting for
-// its lease, during which the service would be down.
+// this controller is not at fault. The service would be down until the lease expires;
+// returning the machine takes less time.
 func (s *State) isUnresponsive(m *machine) bool {
 	maxSilence := s.cfg.Lease / 2
 	if !m.reconciled || s.now-m.lastHeardAt < maxSilence || s.now-s.electedAt < s.cfg.Lease {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -10,10 +10,10 @@
 	"mulleinfall/internal/sched"
 )
 
-// machine is the leader's record of one machine and its worker. A worker numbers its
-// reports and begins a new session when its lease has expired, which ends all its tasks.
-// Answers and commands carry an epoch (commands.go), and each report shows the highest
-// epoch that the worker has seen since it started.
+// machine is the leader's record of one machine and its worker. Answers to the worker's
+// numbered reports renew its lease. When the lease expires, the worker ends all its tasks
+// and begins a new session. Answers and commands carry an epoch (commands.go), and each
+// report shows the highest epoch that the worker has seen since it started.
 type machine struct {
 	host, endpoint  string
 	machineType     *model.MachineType
@@ -24,19 +24,23 @@
 	hasUnsentOrders bool          // there may be starts or stops that have not been sent
 
 	session, seq uint64 // session and number of the last report that was applied
-	highestEpoch uint64 // highest epoch that its reports have shown
+	highestEpoch uint64 // highest epoch that its reports have shown since it last restarted
 	minEpoch     uint64 // a report with a lower epoch is stale
-	fence        uint64 // low bits of the current epoch
-
-	hasReported  bool // a report of it was applied in this term
-	reconciled   bool // it has shown an epoch of this term, so its task list is complete
-	leaseExpired bool // its lease has certainly expired
-	noOldTasks   bool // it holds no tasks from before this term
-	registered   bool // the state service lists it, so that a successor knows of it
-	page         int  // its registry page; 0: none yet
+	fence        uint64 // low bits of its current epoch (raiseFence)
+
+	hasReported bool // a report of it was applied in this term
+	// reconciled says that it has shown an epoch of this term, so that its task list is
+	// complete. A restart or an expired lease resets it.
+	reconciled   bool
+	leaseExpired bool // its lease has certainly expired, and no newer session is known
+	noOldTasks   bool // its lease has expired in this term, so no task from before the term is left
+	// registered says that the machine registry (registry.go) lists it in the state
+	// service, so that a successor knows of it.
+	registered bool
+	page       int // the registry page to which this leader assigns it; 0: none yet
 	// storedPage is the registry page that lists the machine in the state service.
 	storedPage int
-	hasOwnKey  bool // the registry lists it under a key of its own, as former versions wrote it
+	hasOwnKey  bool // it is registered under a key of its own, as versions before the pages wrote it
 
 	// unresponsiveSince is the wall time in ms since which the machine has not been
 	// answered, as the registry should record it; 0: no mark.
@@ -45,39 +49,42 @@
 	readUnresponsiveSince                      int64 // the mark as last read from the state service
 
 	preexisting bool // belongs to the operators, not rented: never returned for being idle
-	returning   bool // a return was requested
+	returning   bool // a return was requested, and the cloud has not refused it
 	// returnUnconfirmed says that a return had no answer, so that the machine may
 	// disappear at any moment.
 	returnUnconfirmed bool
 	returnLogged      bool // the log says that it is being returned
 	failed            bool // the cloud reports that it has failed
-	// lastHeardAt is when its last report of any kind came, also one that answers a direct
+	// lastHeardAt is when its last report was applied, also one that answers a direct
 	// command. At first it is the election, or 0 for a machine that is new in this term.
 	lastHeardAt time.Duration
-	// lastReplyAt is when the last report came that may have been answered with 200. Its
-	// lease counts from then (leaseEndsAt).
+	// lastReplyAt is when the last report came that may have been answered with 200, or when
+	// the worker's present session became known if that is later. At first it is the latest
+	// time of such a report under a former leader. The worker counts its lease from then or
+	// from earlier (leaseEndsAt).
 	lastReplyAt       time.Duration
-	rentedAt          time.Duration
-	idleSince         time.Duration
+	rentedAt          time.Duration // on a new leader too late until the cloud's list gives its age
+	idleSince         time.Duration // when it was last in use, or became known
 	reclaimAt         time.Duration // when the cloud will reclaim it; 0: no notice
-	backoffUntil      time.Duration // it gets no new tasks before, after refusals and errors
-	consecutiveErrors int
-	slow              bool // found slow: it is drained, returned and replaced
-	slowRuns          int  // slow task runs in a row
+	backoffUntil      time.Duration // after refused starts and failed tasks: no new tasks before then
+	consecutiveErrors int           // tasks that failed on it in a row
+	slow              bool          // found slow: it is drained, returned and replaced
+	slowRuns          int           // slow task runs so far (compareRunTime)
 
-	tasks         map[string]*task
-	orphanedTasks map[string]model.TaskReport
+	tasks         map[string]*task            // bound to it, by name
+	orphanedTasks map[string]model.TaskReport // reported by it but not bound to it: to be stopped
 
-	unverifiedReport *pendingReport // a report that waits for a direct query to confirm it
+	unverifiedReport *pendingReport // a report that waits for a direct query to verify it
 	reachability     reachability
-	answeredEpoch    uint64        // epoch in the last answer to a report
-	answeredSeq      uint64        // sequence number of the last report that was answered
-	answeredAt       time.Duration // when that report was answered
+	answeredEpoch    uint64        // epoch in the last answer to a report; 0: none in this term
+	answeredSeq      uint64        // highest number of a report of this session that was answered; 0: none
+	answeredAt       time.Duration // when a report was last answered
 
+	// A probe is a direct command without orders, which only asks for a report.
 	lastProbeAt          time.Duration // when a stale report last caused a probe
 	hasUnansweredCommand bool          // a direct command had no answer in this term
 	commandInFlight      bool          // a direct command is under way
-	nextCommandAt        time.Duration // it gets no orders and probes before, except probes that a report calls for
+	nextCommandAt        time.Duration // no direct command before then, except probes that a report calls for
 	unconfirmedEpoch     uint64        // highest epoch of a direct command with orders and no answer
 
 	reservedFor   *job // its free capacity is reserved for this job
@@ -92,7 +99,7 @@
 		m = &machine{host: host, tasks: map[string]*task{}, orphanedTasks: map[string]model.TaskReport{}, rentedAt: s.now, idleSince: s.now}
 		m.view.ID, m.view.Ref = host, m
 		// A machine of a type that is not known yet may report running tasks. Without
-		// an image cache, such a report made the controller panic.
+		// an image cache, such a report would make the controller panic.
 		m.view.Images = &sched.Cache{}
 		m.viewStale = true
 		s.machines[host] = m
@@ -118,7 +125,8 @@
 	s.machinesWithOrphans = slices.DeleteFunc(s.machinesWithOrphans, func(m *machine) bool { return m.host == host })
 }
 
-// describeMachine sets the endpoint, type, zone and spot flag of m.
+// describeMachine sets the endpoint (if known), type, zone and spot flag of m, and once
+// its type is known the capacity, fetch rate, price and cache size in its view.
 func (s *State) describeMachine(m *machine, endpoint, typeName, zone string, spot bool) {
 	if endpoint != "" {
 		m.endpoint = endpoint
@@ -156,9 +164,10 @@
 	m.viewStale, m.hasUnsentOrders = true, false
 }
 
-// takeOver begins a term. It begins to send an empty command under the new epoch to
-// every machine to which a former leader may have given tasks. The command asks for the
-// machine's tasks and fences off commands of earlier epochs.
+// takeOver begins a term. It sends an empty command under the new epoch to the registered
+// machines, since a former leader may have given them tasks. The command asks for the
+// machine's tasks and fences off commands of earlier epochs. Machines for which no socket
+// is free get it later, unless they report first.
 func (s *State) takeOver() {
 	s.log(slog.LevelInfo, "leading", "term", s.leadership.Term, "jobs", len(s.active), "machines", len(s.machines))
 	s.attemptCounter, s.lastRentalNumber, s.lastReportAt = 0, 0, s.now
--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -16,9 +16,10 @@
 	lastReportAt   time.Duration   // when a report with new information last came
 }
 
-// pendingReport is a report that has not been answered yet. Its answer may wait for the
-// next dispatch round, or until the unresponsive mark of its machine is out of the
-// registry.
+// pendingReport is a report that has not been answered yet. Its answer may wait for a
+// direct query that verifies the report, for the next dispatch round, or until the
+// unresponsive mark of its machine is out of the registry. From that mark, which is the
+// time of the last reply, a successor counts the machine's lease (registry.go).
 type pendingReport struct {
 	requestID  uint64
 	machine    *machine
@@ -26,8 +27,9 @@
 	receivedAt time.Duration
 }
 
-// answerReport answers a report with orders, or with 503 if it must not be answered any
-// more.
+// answerReport answers a report with orders, or with 503 if its worker's lease must not be
+// renewed: this controller no longer leads, the machine's record was removed, its session or
+// lease has ended, or its unresponsive mark is still in the registry.
 func (s *State) answerReport(pending pendingReport) {
 	if !s.IsLeader() || s.machines[pending.machine.host] != pending.machine || pending.machine.session != pending.report.Session || pending.machine.leaseExpired || !s.clearUnresponsiveMark(pending.machine) {
 		s.emit(Reply{RequestID: pending.requestID, Status: 503, Body: Problem{"overtaken"}})
@@ -41,9 +43,10 @@
 // renewLease answers a report with 200, which renews its worker's lease. The answer
 // always carries a stop for each reported task whose job is final, up to maxOrders; the
 // worker applies both the renewal and the stops, or neither. So a leader that knows of a
-// cancellation never renews the lease of a cancelled task without stopping it. Answers to
-// machines that were not reconciled yet used to lack the stops: several leaders in a row
-// renewed leases without them, and cancelled tasks ran for longer than cancel_s.
+// cancellation never renews the lease of a cancelled task without stopping it. In an earlier
+// version, answers to machines that had not shown the term's epoch yet lacked the stops:
+// several leaders in a row renewed leases without them, and cancelled tasks ran for longer
+// than cancel_s.
 func (s *State) renewLease(pending pendingReport, orders []model.Order) {
 	orders = s.withStops(pending.machine, pending.report, orders)
 	s.logLeaseRenewed(pending.machine, pending.report, len(orders))
@@ -66,8 +69,8 @@
 	return stops[:min(len(stops), maxOrders)]
 }
 
-// stopsForReportedTasks returns stops for the tasks in r that have not exited although
-// their jobs are final.
+// stopsForReportedTasks returns stops, without a grace period, for the tasks in r that have
+// not exited although their jobs are final.
 func (s *State) stopsForReportedTasks(r *model.Report) []model.Order {
 	var stops []model.Order
 	for _, reported := range r.Tasks {
@@ -112,8 +115,8 @@
 	return j != nil && j.isFinal()
 }
 
-// answerReports answers the pending reports, except those of machines whose unresponsive
-// mark is still being removed from the registry.
+// answerReports answers the pending reports. Those of machines whose unresponsive mark is
+// still being removed from the registry wait on, for a report interval at most.
 func (s *State) answerReports() {
 	pendingReports := s.pendingReports
 	s.pendingReports = nil
@@ -129,8 +132,9 @@
 // maxOrders bounds the orders in one answer, so that the answer fits in a line of 64 KiB.
 const maxOrders = 400
 
-// ordersFor returns the orders for m in answer to its report r. They are repeated with
-// every report until the reports show that they were carried out.
+// ordersFor returns the orders for m in answer to its report r: none before m has shown the
+// term's epoch. They are repeated with every report until the reports show that they were
+// carried out.
 func (s *State) ordersFor(m *machine, r *model.Report) []model.Order {
 	orders := []model.Order{}
 	if !m.reconciled || m.session != r.Session {
@@ -168,8 +172,9 @@
 
 // mayForget says whether m may forget an exited task that it lists. While a direct
 // command may still arrive, nothing may be forgotten, because the command could start a
-// forgotten attempt again; this ends once m has shown a higher epoch. A completed task
-// may be forgotten only once its result is durable.
+// forgotten attempt again; this ends once m has shown a higher epoch. An attempt that is
+// still bound is forgotten only if its cause is unknown (updateTask), and a completed task
+// only once its result is durable.
 func (s *State) mayForget(m *machine, reported model.TaskReport) bool {
 	if reported.State != model.TaskExited || m.commandInFlight || m.unconfirmedEpoch != 0 && m.highestEpoch <= m.unconfirmedEpoch {
 		return false
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -6,9 +6,10 @@
 	"mulleinfall/internal/model"
 )
 
-// This file classifies workers' reports: a report with new information is applied, a
-// stale one is refused or answered without effect, a doubtful one is first verified by a
-// direct query. Late copies of reports can arrive at any time.
+// This file classifies workers' reports: a report with new information is applied; of a
+// stale one only completed tasks are recorded; a doubtful one is first verified by a direct
+// query, which is a command that asks the machine for its current report. Late copies of
+// reports can arrive at any time.
 
 // handleReport handles a report that a worker sent on its own.
 func (s *State) handleReport(event WorkerReport) {
@@ -32,7 +33,8 @@
 func (s *State) refuseReport(requestID uint64, r *model.Report) bool {
 	switch {
 	case !s.IsLeader() && s.leadership != nil && s.electedAt != 0:
-		// Elected, but the replica has not caught up: neither a 200 nor a redirect is right.
+		// Elected, but the replica has not caught up, or the right to act has just expired:
+		// neither a 200 nor a redirect is right.
 		s.refuseWorker(requestID, "not ready to lead")
 	case !s.IsLeader():
 		s.emit(Reply{RequestID: requestID, Status: 421, Body: Redirect{s.currentLeader()}})
@@ -60,8 +62,9 @@
 	m, r := pending.machine, pending.report
 	switch {
 	case r.Epoch < m.minEpoch && (r.Session != m.session || r.Seq > m.seq):
-		// A worker's epoch only grows until the worker restarts. So the report is from
-		// before a restart, or the worker has restarted and this leader does not know yet.
+		// A worker's epoch only grows until the worker restarts. So the report is a late
+		// copy from before a restart, or its worker has restarted and has not seen the
+		// epoch yet that this leader requires.
 		s.refuseStaleReport(pending, "report is from another life of this machine")
 	case r.Session < m.session || m.leaseExpired && r.Session == m.session && m.session != 0:
 		// The session is over: nothing may renew its lease.
@@ -74,18 +77,19 @@
 		// before it can show higher sessions than the current one.
 		s.verifyReport(pending)
 	case m.lastHeardAt != 0 && s.now-m.lastHeardAt >= s.maxReportGap() && m.endpoint != "":
-		s.verifyReport(pending)
+		s.verifyReport(pending) // the first report after a long gap
 	case m.leaseExpired && m.session == 0:
 		// The lease expired before the machine was heard of in this term. Only a direct
-		// query can tell whether the report is current.
+		// query can tell whether the report is current; the case above makes it once
+		// maxReportGap has passed since the election.
 		s.refuseWorker(pending.requestID, "busy")
 	default:
 		s.acceptReport(pending)
 	}
 }
 
-// refuseStaleReport refuses a report that is older than what its machine has shown, and
-// probes the machine. Of the report, only completed tasks are recorded.
+// refuseStaleReport refuses a report that seems older than what its machine has shown, and
+// probes the machine (probeAgain). Of the report, only completed tasks are recorded.
 func (s *State) refuseStaleReport(pending pendingReport, reason string) {
 	s.recordCompletions(pending.report)
 	s.probeAgain(pending.machine)
@@ -97,7 +101,8 @@
 // a late copy. Only in the first case does a worker wait for the answer, which may renew
 // its lease. The report was sent before the newer one arrived, so the lease counts from
 // that arrival and not from now: a late copy says nothing about the current state of the
-// machine.
+// machine. While the registry may mark the machine as unresponsive, the answer waits until
+// the mark is removed (clearUnresponsiveMark).
 func (s *State) answerSupersededReport(pending pendingReport) {
 	m := pending.machine
 	s.recordCompletions(pending.report)
@@ -131,7 +136,8 @@
 	m.answeredEpoch, m.answeredSeq, m.reachability, m.reconciled = 0, 0, reachability{}, false
 	m.leaseExpired, m.lastReplyAt = false, s.now // it has a new lease since the restart
 	for _, t := range m.tasks {
-		// Answers to reports from before the restart were lost with their connections.
+		// Answers to reports from before the restart were lost with their connections, so
+		// no start in them can still arrive.
 		t.startSentSeq, t.session = 0, r.Session
 	}
 	// Late copies from before the restart may show the same session and higher sequence
@@ -141,9 +147,9 @@
 }
 
 // verifyReport queries a machine directly before a report of it is applied, because the
-// report shows a new session or is the first for longer than maxReportGap. It may be a
-// late copy, while the machine has failed or is served by another leader. Applying such
-// a copy would keep the tasks of a failed machine bound for one more lease.
+// report shows a new session or is the first for longer than maxReportGap. The report may
+// be a late copy, while the machine has failed or is served by another leader. Applying
+// such a copy would keep the tasks of a failed machine bound for one more lease.
 func (s *State) verifyReport(pending pendingReport) {
 	m := pending.machine
 	if m.unverifiedReport != nil {
@@ -151,12 +157,14 @@
 	}
 	m.unverifiedReport = &pending
 	if !m.commandInFlight && s.mayProbe() {
-		s.sendCommand(m, nil, nil) // otherwise sendCommands does it once a command was answered
+		// Otherwise the outcome of the command under way decides, or sendCommands sends a
+		// query once a socket is free.
+		s.sendCommand(m, nil, nil)
 	}
 }
 
-// finishVerification handles a report that waited for a direct query of its machine.
-// alive says whether the machine answered.
+// finishVerification handles a report that waited for a direct query of its machine, if
+// there is one. alive says whether the machine answered.
 func (s *State) finishVerification(m *machine, alive bool) {
 	pending := m.unverifiedReport
 	if pending == nil {
@@ -182,6 +190,7 @@
 	s.applyReport(m, r, true)
 	s.checkDelivery(m, r)
 	if m.reachability.unreachable {
+		// Without an answer its session ends (markUnreachable).
 		s.refuseWorker(pending.requestID, "answers don't reach this machine")
 		return
 	}
--- a/internal/core/task_reports.go
+++ b/internal/core/task_reports.go
@@ -52,8 +52,8 @@
 }
 
 // handleNewSession records the first report of a session. If this leader knows an earlier
-// session of the machine, its tasks are unbound: the worker's lease had expired, and it
-// has killed all its tasks.
+// session of the machine, the tasks bound in that session are unbound: the worker's lease
+// had expired, and the worker has killed all its tasks.
 func (s *State) handleNewSession(m *machine, r *model.Report) {
 	if m.answeredSeq != 0 && !m.leaseExpired && s.now-m.lastReplyAt < s.cfg.Lease/2 {
 		s.markUnreachable(m, "its lease expired although its reports were answered")
@@ -84,14 +84,15 @@
 // handleUnlistedTask handles a task that is bound to a machine but missing in its report.
 // The task is unbound only if no start of it can arrive any more: the worker has sent a
 // later report than the one whose answer carried the start, and has shown a higher epoch
-// than any direct start whose outcome is unknown.
+// than any direct start whose outcome is unknown. A task that was never listed and is not
+// being stopped stays bound; the answer repeats its start.
 func (s *State) handleUnlistedTask(t *task, r *model.Report, selfSent bool) {
 	m := t.machine
 	cannotStart := t.startSent && (t.unconfirmedStartEpoch == 0 || r.Epoch > t.unconfirmedStartEpoch) && (t.startSentSeq == 0 || selfSent && r.Seq > t.startSentSeq)
 	switch {
 	case !cannotStart && t.startSent:
 		if t.stopping && t.unconfirmedStartEpoch != 0 && m.fence <= t.unconfirmedStartEpoch&(1<<fenceBits-1) {
-			s.raiseFence(m)
+			s.raiseFence(m) // the task is unbound once a report shows the higher epoch
 		}
 	case t.stopping:
 		s.unbind(t, "never started")
@@ -189,9 +190,9 @@
 	}
 }
 
-// backoff is how long to wait after n errors in a row. It is a lease at most: with long
-// report intervals, a few tasks of one job that failed together on one bad machine
-// otherwise kept the whole job off all machines for minutes.
+// backoff is how long to wait after n errors in a row. It doubles with each error, up to a
+// lease: otherwise, where report intervals are long, a few tasks of one job that fail
+// together on one bad machine would keep the whole job off all machines for minutes.
 func (s *State) backoff(n int) time.Duration {
 	return min(s.cfg.ReportInterval<<min(n-1, 5), s.cfg.Lease)
 }
