--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -152,9 +152,10 @@
 		"stops", oldest.stopCount, "term", s.leadership.Term)
 }
 
-// endCancellationWatch removes the record of a cancellation when the tasks are gone as far
-// as this leader can know. Without a leader's complete view, it removes the record after
-// cancel_s.
+// endCancellationWatch removes the record of a cancellation whose tasks are gone as far as
+// this controller knows. A leader that has accounted for all machines can be certain of
+// that, and logs it if stops were sent. Any other controller removes the record once
+// cancel_s has passed.
 func (s *State) endCancellationWatch(id string, record *cancellationRecord) {
 	knownFor := s.now - record.job.finalSeenAt
 	switch {
@@ -169,7 +170,8 @@
 	}
 }
 
-// jobsWithOrphanedTasks returns the ids of the jobs that have orphaned tasks on any machine.
+// jobsWithOrphanedTasks returns the ids of the jobs that have orphaned tasks on any machine:
+// tasks that it reports although this leader has not bound them to it.
 func (s *State) jobsWithOrphanedTasks() map[string]bool {
 	jobs := map[string]bool{}
 	for _, m := range s.machinesWithOrphans {
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -9,15 +9,15 @@
 // This file makes sure that the leader learns of a cancellation soon enough after any
 // controller has confirmed it to a user, also when the leader can't reach the state
 // service. Without these rules the following happened: right after one controller had
-// confirmed cancellations, the state service failed for all controllers. The leader kept
-// leading by the promise of another controller, did not know of the cancellations, and
+// confirmed cancellations, the state service failed for all controllers. The leader did
+// not know of the cancellations, kept leading by the promise of another controller, and
 // kept the tasks running far beyond cancel_s.
 //
 // So a leader's view of the cancellations may be no older than maxViewAge. Its age counts
-// from the leader's last complete read, or from the end of the read leases that the other
-// controllers grant to a leader without access to the state service. While a controller
-// is bound by a read lease, it confirms no cancellation that the leader has not
-// acknowledged. docs/design.md has the whole argument.
+// from the leader's last complete read or, if that is later, from the earliest end of the
+// read leases that all other controllers have granted to a leader without access to the
+// state service. While a read lease binds a controller, it confirms no cancellation that
+// the leader has not acknowledged. docs/design.md has the whole argument.
 
 // cancellationState is a controller's state about unconfirmed cancellations.
 type cancellationState struct {
@@ -38,9 +38,9 @@
 
 // maxViewAge is how old a leader's view of the cancellations may be. Once a leader with
 // an older view has stopped, the workers' leases take up to a lease more to expire, so
-// the age is bounded by what cancel_s leaves beyond a lease, less a sixteenth and the
-// drift of the clocks. If cancel_s is hardly longer than a lease, the bound is the promise
-// duration, without which no leader could act at all.
+// the age is bounded by what cancel_s leaves beyond a lease, less a sixteenth of that and
+// the drift of the clocks. If cancel_s is hardly longer than a lease, the bound is the
+// promise duration; with a shorter one, no leader could act at all.
 func maxViewAge(cfg Config) time.Duration {
 	remaining := cfg.CancelWithin - cfg.Lease
 	return max(remaining-remaining/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
@@ -48,9 +48,9 @@
 
 // CancelBound is the longest time for which tasks of a cancelled job may exist after the
 // cancellation was confirmed to its user, whatever fails. A leader that does not know of
-// the cancellation renews leases until its view is too old by its own clock; the election
-// shortens that time by more than the drift. The last lease then runs by the worker's
-// clock. A leader that knows of the cancellation renews no lease without the stop
+// the cancellation renews leases until its view is too old by its own clock; the package
+// election shortens that time by more than the drift. The last lease then runs by the
+// worker's clock. A leader that knows of the cancellation renews no lease without the stop
 // (renewLease). docs/design.md has the sum term by term.
 func (c Config) CancelBound() time.Duration {
 	drift := time.Duration(float64(c.Lease) * 2 * ClockDrift)
@@ -130,7 +130,7 @@
 // read them from the state service before they act.
 func (s *State) handleAcknowledgement(m PeerMsg) {
 	if m.Term < s.term {
-		return // the next leader may have been elected before the cancellation
+		return // a later leader may have been elected, and have read the state, before the cancellation
 	}
 	for id, modRevision := range m.Counts {
 		if s.unacknowledged[id] == uint64(modRevision) {
@@ -140,8 +140,9 @@
 	s.answerPendingConfirmations()
 }
 
-// canConfirm says whether the status of j may be sent to a user. It may not while j is
-// cancelled, the leader may not know of it, and a read lease binds this controller.
+// canConfirm says whether the status of j may be sent to a user. It may not while all of
+// these hold: j is cancelled, the leader may not know of that, this controller does not
+// lead, and a read lease binds it.
 func (s *State) canConfirm(j *job) bool {
 	_, isUnacknowledged := s.unacknowledged[j.ID]
 	return !isUnacknowledged || j.phase != model.PhaseAborted || s.IsLeader() || !s.voter.HasReadLease(s.now, s.term)
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -55,9 +55,10 @@
 		if s.commandsInFlight >= s.cfg.MaxDirectCommands {
 			return
 		}
-		// The next call starts with the first machine that found no free socket. When
-		// each call started from the front, the machines of one unreachable zone used all
-		// sockets, and the few machines for which all older jobs waited were never probed.
+		// The next call starts with the last machine for which a probe was still allowed.
+		// If each call started from the front, the machines of one unreachable zone would
+		// use all sockets, and the few machines for which all jobs from before this term
+		// wait would never be probed.
 		if s.mayProbe() {
 			s.nextCommandIndex = index
 		}
@@ -77,12 +78,13 @@
 func (s *State) needsProbe(m *machine) bool {
 	switch {
 	case m.unresponsiveSince != 0 && s.commandsInFlight >= s.cfg.MaxDirectCommands/4:
-		return false // an unreachable zone must not use all sockets
+		return false // an unreachable zone, whose machines get that mark, must not use all sockets
 	case !m.reconciled:
 		// If one of its reports was answered in this term, its next report shows the
-		// epoch, so that no probe is needed.
+		// epoch, so that no probe is needed unless that report is late.
 		return m.registered && !m.leaseExpired && (m.answeredEpoch == 0 || s.now-m.lastHeardAt > s.cfg.ReportInterval)
 	}
+	// A machine that is unreachable is probed until it shows that a command has arrived.
 	return s.now-m.lastHeardAt > 2*s.cfg.ReportInterval || m.reachability.unreachable && m.highestEpoch < m.reachability.recoveryEpoch
 }
 
@@ -151,8 +153,8 @@
 		s.recordStartOutcome(m, starts, epoch, result.Status)
 		r := result.Report
 		if r.Session < session || r.Session == session && r.Seq <= seq {
-			// The counts are not above those that m showed before the command was sent,
-			// so m has restarted since.
+			// The session and report number are not above those that m had shown before
+			// the command was sent, so m has restarted since.
 			s.handleRestart(m, r)
 		}
 		if r.Session > m.session || r.Session == m.session && r.Seq > m.seq {
@@ -187,9 +189,9 @@
 }
 
 // recordStartOutcome records the outcome of direct starts. A late copy of the command may
-// still arrive after it was carried out, and such a copy once started a task a second
-// time. So the fence is raised: all that could make these starts valid again, such as a
-// forget or another attempt, is sent under a higher epoch, after which the copy is refused.
+// still arrive after it was carried out. In an earlier version such a copy started a task a
+// second time. So the fence is raised: all that could make these starts valid again, such as
+// a forget or another attempt, is sent under a higher epoch, after which the copy is refused.
 func (s *State) recordStartOutcome(m *machine, starts []*task, epoch uint64, status int) {
 	if len(starts) > 0 {
 		s.raiseFence(m)
@@ -200,7 +202,7 @@
 		}
 		t.unconfirmedStartEpoch = 0 // the outcome is known
 		if status == 409 {
-			t.startSent = t.startSentSeq != 0
+			t.startSent = t.startSentSeq != 0 // refused: sent only if an answer carried it as well
 		}
 	}
 }
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -70,7 +70,7 @@
 func (s *State) disposition(m *machine) disposition {
 	switch {
 	case m.returning, m.failed, s.hasOverdueCancelledTasks(m), s.wasReclaimed(m):
-		return returnNow
+		return returnNow // m.returning: the return is repeated until the cloud confirms it
 	case s.zones[m.zone].unreachable:
 		// The machines are most likely only cut off. Their tasks go on, or can run there
 		// again later, and a machine whose tasks have ended still holds its images.
@@ -82,7 +82,7 @@
 	case !m.hasReported && !m.registered:
 		return returnIf(s.now-m.rentedAt > s.bootTimeout(m))
 	case !m.registered && s.now-m.lastHeardAt > 2*s.cfg.Lease, s.isUnreachableTooLong(m):
-		return returnNow
+		return returnNow // an unregistered machine has no lease that expireLeases watches
 	case m.slow && m.isEmpty():
 		return returnNow
 	case !m.preexisting && m.reclaimAt == 0 && m.reconciled && m.isEmpty() && len(m.view.LocalQueue) == 0:
@@ -104,12 +104,13 @@
 
 // isLostForGood says whether m, whose lease has expired, is given up: half a lease after
 // that, or after its zone has recovered, whichever is later. It is kept while no machine
-// reports, because then this controller is more likely to be cut off.
+// has reported for two report intervals, because then this controller is more likely to be
+// cut off.
 func (s *State) isLostForGood(m *machine) bool {
 	return s.now-max(s.leaseEndsAt(m), s.zoneRecoveredAt[m.zone]) > s.cfg.Lease/2 && s.now-s.lastReportAt < 2*s.cfg.ReportInterval
 }
 
-// isEmpty says whether no task is or may be on m.
+// isEmpty says whether no task is or may be on m, as far as this leader knows.
 func (m *machine) isEmpty() bool { return len(m.tasks) == 0 && len(m.orphanedTasks) == 0 }
 
 // returnHosts asks the cloud to end the rental of machines.
@@ -161,7 +162,8 @@
 }
 
 // bootTimeout is how long m may take from its rental to its first report: the configured
-// multiple of its boot time.
+// multiple of its boot time, which is taken as 5 s at least, and as 30 s while its type is
+// unknown.
 func (s *State) bootTimeout(m *machine) time.Duration {
 	bootS := 30.0
 	if m.machineType != nil {
@@ -171,13 +173,14 @@
 }
 
 // isIdleLongEnough says whether an idle machine has been idle for the configured multiple
-// of its boot time, and has been rented for longer than the minimum charge covers.
+// of its boot time (taken as in bootTimeout), and has been rented for longer than the
+// minimum charge covers.
 func (s *State) isIdleLongEnough(m *machine) bool {
 	bootS := 30.0
 	if m.machineType != nil {
 		bootS = max(m.machineType.BootS, 5)
 	}
-	const minimumCharge = 60 * time.Second // PROTOCOL, /machines/return
+	const minimumCharge = 60 * time.Second // the cloud charges for this time at least (PROTOCOL, /machines/return)
 	return s.now-m.idleSince > time.Duration(s.cfg.IdleBoots*bootS*float64(time.Second)) && s.now-m.rentedAt > minimumCharge
 }
 
@@ -203,6 +206,7 @@
 
 // wasRecentlyReturned says whether host was returned so recently that the cloud's list,
 // which lags, or a late report may still show it. Such a machine must not be added again.
+// An entry that is old enough is removed.
 func (s *State) wasRecentlyReturned(host string) bool {
 	returnedAt, ok := s.returnedAt[host]
 	if !ok {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -17,9 +17,9 @@
 // reachability is what a leader knows about deliveries to one machine.
 type reachability struct {
 	unreachable        bool          // answers and commands do not reach it
-	missedDeliveries   int           // missed deliveries in a row
+	missedDeliveries   int           // answers and commands in a row that did not reach it
 	unreachableCount   int           // how often it was found unreachable
-	recoveryEpoch      uint64        // a report with it or a higher one shows that a later command has arrived
+	recoveryEpoch      uint64        // lowest epoch of the commands sent since it was found unreachable
 	firstUnreachableAt time.Duration // when it was first found unreachable
 	earliestRecoveryAt time.Duration // it stays unreachable at least until then
 }
@@ -32,11 +32,12 @@
 func (s *State) checkDelivery(m *machine, r *model.Report) {
 	switch {
 	case m.reachability.unreachable || m.answeredSeq == 0 || r.Seq <= m.answeredSeq:
-		// The machine is known to be unreachable, or has no answer in this session yet.
+		// The machine is known to be unreachable, or has no answer in this session yet, or
+		// the report was sent before the answer.
 	case s.now-m.answeredAt < s.cfg.ReportInterval/3:
 		// The report came so soon after the answer that it was sent before: it is a late
-		// copy. When such copies counted, several that reached a new leader at once got
-		// healthy machines marked, and their tasks lost the leases.
+		// copy. If such copies counted, several that reach a new leader at once would get
+		// healthy machines marked as unreachable, and their leases would expire.
 	case r.Epoch >= m.answeredEpoch && !s.hasMissingStart(m, r):
 		m.reachability.missedDeliveries = 0
 	default:
@@ -65,8 +66,8 @@
 
 // markUnreachable stops giving m tasks and answers, so that its session certainly ends and
 // its tasks can run elsewhere. m counts as reachable again once it shows the epoch that
-// only commands from now on carry. That needs no minimum wait the first time, and one
-// lease more each further time.
+// only commands from now on carry, the first time at once, and each further time after one
+// lease more than the time before.
 func (s *State) markUnreachable(m *machine, why string) {
 	if m.reachability.unreachable {
 		return
@@ -81,7 +82,8 @@
 	s.dispatchNeeded = true
 }
 
-// confirmDelivery makes m reachable again when a report shows that a command has arrived.
+// confirmDelivery makes m reachable again when a report shows that a command has arrived,
+// but not before earliestRecoveryAt.
 func (s *State) confirmDelivery(m *machine, r *model.Report) {
 	if m.reachability.unreachable && r.Epoch >= m.reachability.recoveryEpoch && s.now >= m.reachability.earliestRecoveryAt {
 		m.reachability.unreachable = false
@@ -92,8 +94,9 @@
 
 // isUnreachableTooLong says whether m should be returned: it is unreachable, it was first
 // found so more than three leases ago or has been found so more than twice, and most
-// machines report. If commands arrive and only answers do not, the machine recovers each
-// time, and each of its sessions would end all tasks that run for longer than a lease.
+// machines report. The number of times counts because of machines that commands reach but
+// answers do not: they recover each time, and each of their sessions would end all tasks
+// that run for longer than a lease.
 func (s *State) isUnreachableTooLong(m *machine) bool {
 	return m.reachability.unreachable && (s.now-m.reachability.firstUnreachableAt > 3*s.cfg.Lease || m.reachability.unreachableCount > 2) && s.mostMachinesReport()
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -14,9 +14,9 @@
 }
 
 // assessZones finds the unreachable zones: those with at least three machines of which
-// fewer than half report. No machines are rented there, and the capacity of those there is
-// not counted on. Nor are those returned, because they are probably only cut off; that
-// holds for maxZoneOutageLeases at most.
+// fewer than half report. No machines are rented in such a zone. The capacity of its
+// machines is not counted on, but they are kept (disposition names the exceptions), because
+// they are probably only cut off. All this holds for maxZoneOutageLeases at most.
 func (s *State) assessZones() map[string]zoneState {
 	zones := map[string]zoneState{}
 	for _, m := range s.machinesByName {
@@ -35,7 +35,7 @@
 		if zone.machines < 3 || zone.reporting*2 >= zone.machines {
 			if _, ok := s.zoneUnreachableSince[name]; ok {
 				delete(s.zoneUnreachableSince, name)
-				s.zoneRecoveredAt[name] = s.now // the rest of its machines may report later
+				s.zoneRecoveredAt[name] = s.now // its other machines get time to report: isLostForGood
 			}
 			continue
 		}
@@ -53,5 +53,5 @@
 }
 
 // maxZoneOutageLeases is for how many leases a zone may be unreachable before its machines
-// are given up.
+// are treated like any others, and so given up.
 const maxZoneOutageLeases = 16
