--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -139,13 +139,13 @@
 		s.now-s.electedAt > s.reportTimeout(s.cfg.ReportInterval*5/4, s.maxReportGap()/2+s.cfg.ReportInterval) && s.unaccountedMachines*32 <= s.reachableMachines
 }
 
-// isUnresponsive says whether m is given up before its lease expires. All of these must
-// hold: m has a service of the highest priority, or a task of a gang, whose other tasks
+// isSilentWithUrgentTasks says whether m is given up before its lease expires. All of these
+// must hold: m has a service of the highest priority, or a task of a gang, whose other tasks
 // wait until this one has ended; m has listed its tasks in this term, but has been silent
 // for half a lease; the term has lasted for a lease; and most machines report, so that
 // this controller is not at fault. The service would be down until the lease expires;
 // returning the machine takes less time.
-func (s *State) isUnresponsive(m *machine) bool {
+func (s *State) isSilentWithUrgentTasks(m *machine) bool {
 	maxSilence := s.cfg.Lease / 2
 	if !m.reconciled || s.now-m.lastHeardAt < maxSilence || s.now-s.electedAt < s.cfg.Lease {
 		return false
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -75,7 +75,7 @@
 		// The machines are most likely only cut off. Their tasks go on, or can run there
 		// again later, and a machine whose tasks have ended still holds its images.
 		return keepMachine
-	case s.isUnresponsive(m), s.isPresumedLost(m):
+	case s.isSilentWithUrgentTasks(m), s.isPresumedLost(m):
 		return returnNow
 	case m.leaseExpired:
 		return returnIf(s.isLostForGood(m))
