--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -13,21 +13,22 @@
 type fleetState struct {
 	listInFlight      bool
 	nextListAt        time.Duration
-	nextPlanAt        time.Duration
-	rentalsInFlight   int    // rental requests under way
-	lastRentalNumber  uint64 // number of the last rental request of this term
-	rentalUnconfirmed bool   // a rental had no answer: its machines may appear unannounced
+	nextPlanAt        time.Duration // when returns and rentals are next planned
+	rentalsInFlight   int           // rental requests under way
+	lastRentalNumber  uint64        // number of the last rental request of this term
+	rentalUnconfirmed bool          // a rental had no answer: its machines may appear unannounced
 	returnInFlight    bool
 	// refusedOffers holds the offers for which the cloud had no capacity. Each is requested
 	// again after a pause that grows.
 	refusedOffers        map[offerKey]*refusal
 	returnedAt           map[string]time.Duration // when each machine was returned, by host
-	zones                map[string]zoneState     // updated once per second
+	zones                map[string]zoneState     // updated once per second, unless a return is under way
 	zoneUnreachableSince map[string]time.Duration // since when a zone has been unreachable
 	zoneRecoveredAt      map[string]time.Duration // when a zone last became reachable again
 	limitLogged          bool                     // the log says that the limit on machines was reached
 	// reachableMachines is the number of machines outside unreachable zones, and
-	// unaccountedMachines the number of those that have not listed their tasks yet.
+	// unaccountedMachines the number of those that may run tasks that this leader has not
+	// seen (isUnaccounted).
 	reachableMachines   int
 	unaccountedMachines int
 }
@@ -52,7 +53,7 @@
 
 // refreshTypes requests the machine types from the cloud: on the leader regularly, which
 // keeps the prices up to date; on other controllers only until they know any types, since
-// the state service usually holds the types already.
+// the state service usually holds the types already. Changed types are written there.
 func (s *State) refreshTypes() {
 	if s.now < s.nextTypesReadAt {
 		return
@@ -72,7 +73,7 @@
 		s.nextTypesReadAt = s.now + 30*time.Second
 		changed := s.setTypes(result.Types)
 		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(result.Types)) > s.cfg.MaxValueBytes {
-			return // unchanged, or too long to be stored: then each controller asks the cloud
+			return // unchanged, or too long to be stored: without them each controller asks the cloud
 		}
 		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(result.Types)}, class: classRegistry, deadline: s.now + userRequestTimeout, done: func(outcome) {}})
 	})
@@ -131,7 +132,7 @@
 	s.listInFlight = true
 	leadership := s.leadership
 	for _, host := range sortedKeys(s.returnedAt) {
-		s.wasRecentlyReturned(host) // removes old entries
+		s.wasRecentlyReturned(host) // removes the entry if it is old
 	}
 	sent := s.callCloud(CloudCall{Op: CloudList, After: after, Limit: 500}, func(result CloudResult) {
 		if s.leadership != leadership {
@@ -175,8 +176,8 @@
 	if m.endpoint == "" {
 		m.endpoint = listed.Endpoint
 	}
-	// A new leader does not know when the machine was rented. When it counted from its
-	// election, the minimum charge kept idle machines for a minute too long.
+	// A new leader does not know when the machine was rented. If it counted from its
+	// election, the minimum charge would keep idle machines for a minute too long.
 	m.rentedAt = min(m.rentedAt, s.now-age)
 	if listed.State == "failed" && s.now-m.lastReplyAt > s.cfg.Lease/2 {
 		m.failed = true
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -23,13 +23,13 @@
 	return time.Duration(bootS * float64(time.Second))
 }
 
-// demands lists the waiting tasks, most urgent job first, and then the capacity to keep
-// free for a service and a gang.
+// demands lists the waiting tasks, those of the highest priority first, and then the
+// capacity to keep free for services and gangs that may arrive (spare_capacity.go).
 func (s *State) demands() []fleet.Demand {
 	var demands []fleet.Demand
 	for _, j := range s.waitingJobs() {
 		if s.now < j.gang.nextRentalAt {
-			continue
+			continue // see postponeRentals
 		}
 		demand := s.demandFor(j, j.waitingTasks())
 		demand.CanWait = !s.isUrgent(j)
@@ -48,8 +48,8 @@
 	return demands
 }
 
-// expectedCapacity lists the free capacity of each machine, now or by the time when a
-// machine rented now could be up.
+// expectedCapacity lists the free capacity that each machine will have by the time when a
+// machine rented now could be up. All of a machine that has not reported yet counts as free.
 func (s *State) expectedCapacity() []fleet.ExpectedCapacity {
 	var expected []fleet.ExpectedCapacity
 	horizon := s.now + s.shortestBootTime()
@@ -94,8 +94,10 @@
 }
 
 // isUrgent says whether j can no longer wait for capacity on present machines or for
-// cheaper ones. Only batch jobs can wait, until a share (fleet.patience) has passed of the
-// time that the goals of their class leave besides boot, fetch and run.
+// cheaper ones. Only batch jobs can wait: until the share fleet.patience of their spare time
+// has passed since the submission. The spare time is what the completion target leaves
+// besides boot, image fetch and run, or what the start goal of the class leaves besides boot
+// and image fetch if that is less.
 func (s *State) isUrgent(j *job) bool {
 	if j.Kind != model.KindBatch {
 		return true
@@ -107,7 +109,8 @@
 			bootS, fetchGBPerS = machineType.BootS, machineType.FetchGBPerS
 		}
 	}
-	// Actual boot and run times often exceed the stated ones by half.
+	// Actual boot and run times often exceed the stated ones by half. That is allowed for
+	// in full for the boot and in part for the run.
 	readyS := 1.5*bootS + j.ImageGB/max(fetchGBPerS, 0.001)
 	spare := s.completionTarget(j) - time.Duration((readyS+1.25*j.EstimateS)*float64(time.Second))
 	if startWithin := s.cfg.Goals[j.Class].StartWithin; startWithin > 0 {
@@ -117,7 +120,7 @@
 }
 
 // completionTarget is the time within which j should be done after its submission. A job
-// without a goal and a due time gets cancel_s.
+// with neither a finish goal nor a due time gets cancel_s.
 func (s *State) completionTarget(j *job) time.Duration {
 	goal := s.cfg.Goals[j.Class]
 	switch {
@@ -136,6 +139,7 @@
 	demand := fleet.Demand{Job: &j.Job, Count: count, Need: j.need()}
 	demand.OneZone, demand.AllOrNothing = j.OneZone, j.Kind == model.KindGang
 	if demand.OneZone && len(j.tasks) > 0 {
+		// The other tasks must be in the zone of those that have a machine.
 		jobInZone := j.Job
 		for zone, bound := range j.tasksByZone {
 			if bound > 0 {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -47,14 +47,14 @@
 	return limit
 }
 
-// maxRentPauses bounds the pause between rentals for a gang for which the cloud has too few
-// machines: 2^6 leases.
+// maxRentPauses is how often the pause doubles between rentals for a gang for which the
+// cloud has too few machines: from one lease to 2^6 leases.
 const maxRentPauses = 6
 
-// postponeRentals handles a gang for which the cloud does not have all machines that it
-// needs. The machines that were rented for it stay idle and are returned. So further
-// rentals wait for a pause that doubles; otherwise such machines would be rented and paid
-// for again and again as long as the gang waits.
+// postponeRentals handles the gang of the job id, for which the cloud does not have all
+// machines that it needs. The machines that were rented for it stay idle and are returned.
+// So further rentals wait for a pause that doubles; otherwise such machines would be rented
+// and paid for again and again as long as the gang waits.
 func (s *State) postponeRentals(id string) {
 	j := s.active[id]
 	if j == nil || !j.gang.machinesRented {
@@ -70,7 +70,7 @@
 // request uses the same name again, so that it is not carried out twice.
 func (s *State) requestRental(rental fleet.Rental) {
 	if s.rentalsInFlight >= 4 {
-		return
+		return // it is planned again once the requests under way are answered
 	}
 	s.lastRentalNumber++
 	request := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.lastRentalNumber)
@@ -78,6 +78,7 @@
 }
 
 // sendRental sends a rental request, and repeats it up to three times if it has no answer.
+// A request is for 50 machines at most; the rest is planned again.
 func (s *State) sendRental(request string, rental fleet.Rental, retries int) {
 	leadership := s.leadership
 	key := offerKey{rental.Type, rental.Zone, rental.Spot}
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -14,7 +14,8 @@
 
 // slowRatio and slowSamples define a slow machine: slowSamples of its tasks took at least
 // slowRatio times the expected run time of their jobs. The last finished tasks count, and
-// running ones that already exceed that time.
+// running ones that already exceed that time. An expected run time is known once
+// slowSamples run times of the job are recorded.
 const (
 	slowRatio   = 2.0
 	slowSamples = 3
@@ -47,9 +48,8 @@
 	}
 }
 
-// compareRunTime counts a task run as slow, or resets the count if the run took less than
-// three quarters of the time of a slow one. ratio is the run time divided by the expected
-// run time.
+// compareRunTime counts a run of slowRatio or more as slow, and resets the count after a run
+// of less than three quarters of that. ratio is the run time divided by the expected run time.
 func (m *machine) compareRunTime(ratio float64) {
 	if ratio >= slowRatio {
 		m.slowRuns++
@@ -95,8 +95,8 @@
 }
 
 // moveOffSlowMachine stops t if a restart on another machine should take less time than
-// the rest of its run on this one. A task with checkpoints is always stopped, with time
-// to save, and a service never.
+// the rest of its run on this one, or if it does not run yet. A task with checkpoints is
+// always stopped, with time to save, and a service never.
 func (s *State) moveOffSlowMachine(t *task) {
 	if t.stopping || t.job.Kind == model.KindService {
 		return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet plans which machines to rent for tasks without capacity. Plan is a pure
-// function: from the demand, the expected capacity and the offers of the cloud, it computes
-// the rentals that are missing.
+// Package fleet plans which machines to rent for tasks without capacity. From the demand,
+// the expected capacity and the offers of the cloud alone, Plan computes the rentals that
+// are missing.
 package fleet
 
 import (
@@ -62,7 +62,8 @@
 
 // Plan places the demands, in order, on the expected capacity, and rents machines for the
 // rest, at most limit. It rents none for an all-or-nothing demand that it can't place as a
-// whole; unmet lists the ids of the jobs of such demands.
+// whole; unmet lists the ids of the jobs of such demands. Plan overwrites elements of demands
+// and expected.
 func Plan(demands []Demand, expected []ExpectedCapacity, offers []Offer, limit int) (rentals []Rental, unmet []string) {
 	p := &plan{expected: expected, offers: slices.Clone(offers), rentalIndex: map[int]int{}, limit: limit}
 	for i := range demands {
@@ -167,7 +168,7 @@
 // rent adds a machine of an offer to the rentals and places tasks on it.
 func (p *plan) rent(index int, open *openDemand) {
 	offer := &p.offers[index]
-	offer.MachinesInZone++
+	offer.MachinesInZone++ // other offers in this zone keep their number
 	p.limit--
 	position, ok := p.rentalIndex[index]
 	if !ok {
@@ -178,7 +179,7 @@
 	rental := &p.rentals[position]
 	rental.Count++
 	if open.AllOrNothing && !slices.Contains(rental.Gangs, open.Job.ID) {
-		rental.Gangs = append(slices.Clone(rental.Gangs), open.Job.ID)
+		rental.Gangs = append(slices.Clone(rental.Gangs), open.Job.ID) // a clone of the plan may share the slice
 	}
 	p.expected = append(p.expected, ExpectedCapacity{offer.Type.Name, offer.Zone, offer.Spot, open.fill(offer.Zone, offer.capacity())})
 }
@@ -190,7 +191,8 @@
 
 // withChosenZone returns a copy of the job of a one-zone demand, with the zone chosen: the
 // one whose expected capacity takes most of the tasks. Unless it takes all of them, the zone
-// must have an offer for the rest.
+// must have an offer for the rest. Of several zones that take all, the first by name is
+// chosen, and of other equal ones the one with the fewest machines.
 func withChosenZone(demand *Demand, expected []ExpectedCapacity, offers []Offer) *model.Job {
 	placeable := map[string]int{}
 	for _, machine := range expected {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -50,7 +50,7 @@
 		demands  []Demand
 		expected []ExpectedCapacity
 		limit    int
-		want     string
+		want     string // each rental: type, zone, spot, count and gangs
 	}{
 		{"no demand", nil, nil, 9, "[]"},
 		{"two tasks fill a small machine", []Demand{newDemand(2, model.Job{})}, nil, 9, "[{small a false 1 []}]"},
