--- a/internal/core/cancellation_watch_test.go
+++ b/internal/core/cancellation_watch_test.go
@@ -51,6 +51,7 @@
 	if lines := countLogLines(s.effects, slog.LevelInfo, "cancellation confirmed"); lines != 1 {
 		t.Errorf("got %d lines \"cancellation confirmed\", want 1", lines)
 	}
+	// cancel_s is 30 s, so half of it has passed at 25 s.
 	for _, review := range []struct {
 		at    time.Duration
 		level slog.Level
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestCancellationLogIsBounded checks that the number of records for the log is bounded,
-// and that a controller that does not lead removes them after cancel_s.
+// TestCancellationLogIsBounded checks that the number of records that are kept for the log
+// is bounded, and that a controller that does not lead removes them after cancel_s.
 func TestCancellationLogIsBounded(t *testing.T) {
 	s := newSingleController()
 	s.loaded = true
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -73,7 +73,7 @@
 		s.nextTypesReadAt = s.now + 30*time.Second
 		changed := s.setTypes(result.Types)
 		if s.modRevision(keyTypes) != 0 && !changed || len(mustMarshal(result.Types)) > s.cfg.MaxValueBytes {
-			return // unchanged, or too long to be stored: without them each controller asks the cloud
+			return // unchanged, or too long to be stored, so that each controller asks the cloud
 		}
 		s.queueWrite(&write{change: Change{Key: keyTypes, Value: mustMarshal(result.Types)}, class: classRegistry, deadline: s.now + userRequestTimeout, done: func(outcome) {}})
 	})
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -8,11 +8,12 @@
 )
 
 // TestUnwrittenUnresponsiveMark checks that a leader that is elected again ignores the
-// unresponsive marks that it has never written. A leader marks a machine as unresponsive,
-// and its term ends before the mark is written; the next leader answers the machine.
-// Elected again, the first leader must count the machine's lease from its own election, not
-// from its unwritten mark. Otherwise it takes the machine for lost and starts its tasks a
-// second time, which happened. A mark read from the state service does count.
+// unresponsive marks that it has never written. Such a mark in the registry tells a successor
+// since when a machine has not been answered. A leader marks a machine, and its term ends
+// before the mark is written; the next leader answers the machine. Elected again, the first
+// leader must count the machine's lease from its own election, not from its unwritten mark.
+// Otherwise it takes the machine for lost and starts its tasks a second time, as an earlier
+// version did. A mark read from the state service does count.
 func TestUnwrittenUnresponsiveMark(t *testing.T) {
 	s := newSingleController()
 	s.cfg.MaxClockSkew = time.Second
--- a/internal/core/report_replies_test.go
+++ b/internal/core/report_replies_test.go
@@ -61,7 +61,7 @@
 			s.dispatchNeeded, s.effects = true, nil // a new report is then answered after a dispatch round
 			s.handleReport(WorkerReport{RequestID: 1, Report: *r})
 			for _, task := range m.tasks {
-				s.stopTask(task, 0) // the leader learns of the cancellation only now
+				s.stopTask(task, 0) // as if the leader learnt of the cancellation only now
 			}
 			s.answerReports()
 			renewed := false
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -74,7 +74,7 @@
 	})
 	t.Run("an unlisted task is unbound only under an epoch above that of its unanswered start", func(t *testing.T) {
 		for _, c := range []struct {
-			shown uint64 // above the epoch of the command without an answer
+			shown uint64 // how far the report's epoch is above that of the unanswered start
 			gone  bool
 		}{{0, false}, {1, true}} {
 			s, j, m := newLeader(t)
@@ -179,6 +179,7 @@
 // TestGangSafeguards checks each of the safeguards alone that make a gang run and stop as a
 // whole. In the simulated scenarios, one covers for another that is missing.
 func TestGangSafeguards(t *testing.T) {
+	// gathering returns a leader with a gang of three, two of whose tasks wait for the third.
 	gathering := func(t *testing.T) (*State, *job, *machine) {
 		s, _, m := newLeader(t)
 		s.cfg.GangWaitTimeout = 40 * time.Second
@@ -279,7 +280,7 @@
 			t.Errorf("got %d more tasks stopped while capacity is reserved, want 0", count)
 		}
 	})
-	t.Run("a job's first task in a long time is not stopped for a gang", func(t *testing.T) {
+	t.Run("the only task of a job that has waited long for it is not stopped for a gang", func(t *testing.T) {
 		for _, c := range []struct {
 			age  time.Duration
 			want bool
@@ -318,7 +319,7 @@
 		want bool
 	}{
 		{"a gang", gang, false},
-		{"within the limit", gangWith(func(j *model.Job) { j.Team = "tight" }), false},
+		{"a gang that needs exactly its team's limit", gangWith(func(j *model.Job) { j.Team = "tight" }), false},
 		{"a gang whose tasks together exceed the limit", gangWith(func(j *model.Job) { j.Team, j.Tasks = "tight", 5 }), true},
 		{"a batch job whose tasks can run one after the other", gangWith(func(j *model.Job) { j.Team, j.Tasks, j.Kind = "tight", 5, model.KindBatch }), false},
 		{"unknown team", gangWith(func(j *model.Job) { j.Team = "unknown" }), true},
@@ -340,8 +341,8 @@
 
 // TestFinalRefusalsNeedLinearizableRead checks that a controller whose replica lags does not
 // finally refuse a job that another controller has accepted. Without a linearizable read, a
-// job that a former version had accepted was answered with 400 after the limits had been
-// lowered.
+// job that a former version has accepted would be answered with 400 once the limits are
+// lower.
 func TestFinalRefusalsNeedLinearizableRead(t *testing.T) {
 	for _, row := range []struct {
 		name   string
@@ -349,7 +350,7 @@
 		status int
 	}{
 		{"can never run", model.Job{Team: "unknown", Kind: model.KindBatch, Tasks: 1}, 422},
-		{"too long for the lower limits to come", model.Job{Team: "t", Kind: model.KindBatch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
+		{"longer than a value in the state service may be", model.Job{Team: "t", Kind: model.KindBatch, Tasks: 1, Image: strings.Repeat("x", 3000)}, 400},
 		{"a gang, while the settings have no gang timeouts", model.Job{Team: "t", Kind: model.KindGang, Tasks: 2}, 400},
 	} {
 		for _, accepted := range []bool{false, true} {
