--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -10,8 +10,8 @@
 // controller has confirmed it to a user, also when the leader can't reach the state
 // service. Without these rules the following happened: right after one controller had
 // confirmed cancellations, the state service failed for all controllers. The leader did
-// not know of the cancellations, kept leading by the promise of another controller, and
-// kept the tasks running far beyond cancel_s.
+// not know of the cancellations, kept leading by the promise (a vote that binds for a
+// limited time) of another controller, and kept the tasks running far beyond cancel_s.
 //
 // So a leader's view of the cancellations may be no older than maxViewAge. Its age counts
 // from the leader's last complete read or, if that is later, from the earliest end of the
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -53,7 +53,8 @@
 
 // refreshTypes requests the machine types from the cloud: on the leader regularly, which
 // keeps the prices up to date; on other controllers only until they know any types, since
-// the state service usually holds the types already. Changed types are written there.
+// the state service usually holds the types already. They are written there if it holds
+// none, or if setTypes reports a change.
 func (s *State) refreshTypes() {
 	if s.now < s.nextTypesReadAt {
 		return
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -78,7 +78,7 @@
 func (s *State) needsProbe(m *machine) bool {
 	switch {
 	case m.unresponsiveSince != 0 && s.commandsInFlight >= s.cfg.MaxDirectCommands/4:
-		return false // an unreachable zone, whose machines get that mark, must not use all sockets
+		return false // a zone whose machines are all marked as unresponsive must not use all sockets
 	case !m.reconciled:
 		// If one of its reports was answered in this term, its next report shows the
 		// epoch, so that no probe is needed unless that report is late.
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -37,7 +37,7 @@
 	}
 	if j := s.largestService(); j != nil && s.cfg.SpareServices > 0 {
 		spareService := &job{Job: j.Job}
-		spareService.Spread, spareService.Zone = false, ""
+		spareService.Spread, spareService.Zone = false, "" // the spare capacity may be in any zone
 		demands = append(demands, s.demandFor(spareService, s.cfg.SpareServices))
 	}
 	if spareGang := s.spareGang(); spareGang != nil {
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -29,7 +29,7 @@
 	return m.lastReplyAt + lease + time.Duration(float64(lease)*4*ClockDrift) + lease/32
 }
 
-// expireLeases unbinds the tasks of machines whose lease has certainly expired, and forgets
+// expireLeases unbinds the tasks of machines whose lease has certainly expired, and drops
 // their orphaned tasks (tasks on them that this leader has not bound to them).
 func (s *State) expireLeases() {
 	for _, m := range s.machinesByName {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -70,7 +70,7 @@
 // request uses the same name again, so that it is not carried out twice.
 func (s *State) requestRental(rental fleet.Rental) {
 	if s.rentalsInFlight >= 4 {
-		return // it is planned again once the requests under way are answered
+		return // the rental is planned again once the requests under way are answered
 	}
 	s.lastRentalNumber++
 	request := fmt.Sprintf("r-%d-%d", s.leadership.Term, s.lastRentalNumber)
--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -41,12 +41,12 @@
 }
 
 // renewLease answers a report with 200, which renews its worker's lease. The answer
-// always carries a stop for each reported task whose job is final, up to maxOrders; the
-// worker applies both the renewal and the stops, or neither. So a leader that knows of a
-// cancellation never renews the lease of a cancelled task without stopping it. In an earlier
-// version, answers to machines that had not shown the term's epoch yet lacked the stops:
-// several leaders in a row renewed leases without them, and cancelled tasks ran for longer
-// than cancel_s.
+// always carries a stop for each reported task whose job is final (done or cancelled), up to
+// maxOrders; the worker applies both the renewal and the stops, or neither. So a leader that
+// knows of a cancellation never renews the lease of a cancelled task without stopping it. In
+// an earlier version, answers to machines that had not shown the term's epoch yet lacked the
+// stops: several leaders in a row renewed leases without them, and cancelled tasks ran for
+// longer than cancel_s.
 func (s *State) renewLease(pending pendingReport, orders []model.Order) {
 	orders = s.withStops(pending.machine, pending.report, orders)
 	s.logLeaseRenewed(pending.machine, pending.report, len(orders))
@@ -116,7 +116,7 @@
 }
 
 // answerReports answers the pending reports. Those of machines whose unresponsive mark is
-// still being removed from the registry wait on, for a report interval at most.
+// still being removed from the registry wait on, but are refused after a report interval.
 func (s *State) answerReports() {
 	pendingReports := s.pendingReports
 	s.pendingReports = nil
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -156,9 +156,9 @@
 		s.refuseWorker(m.unverifiedReport.requestID, "overtaken")
 	}
 	m.unverifiedReport = &pending
+	// If no query can be sent now, the outcome of the command under way decides, or
+	// sendCommands sends a query once a socket is free.
 	if !m.commandInFlight && s.mayProbe() {
-		// Otherwise the outcome of the command under way decides, or sendCommands sends a
-		// query once a socket is free.
 		s.sendCommand(m, nil, nil)
 	}
 }
