--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -15,21 +15,21 @@
 	keyTypes          = keyRoot + "types"
 	keyClusterVersion = keyRoot + "forms"
 	prefixJobs        = keyRoot + "j/"
-	// prefixMachines holds one key per machine, as versions before the registry pages
-	// wrote them.
+	// prefixMachines begins the keys of single machines, as versions before the registry
+	// pages wrote them.
 	prefixMachines = keyRoot + "m/"
-	prefixPages    = keyRoot + "r/"
-	prefixVersions = keyRoot + "v/"
-	// prefixProgress sorts after prefixJobs, so a listing returns a job before
-	// its progress.
+	prefixPages    = keyRoot + "r/" // pages of the machine registry
+	prefixVersions = keyRoot + "v/" // versions that the controllers know
+	// prefixProgress begins the keys of the bitmaps of finished tasks. It sorts after
+	// prefixJobs, so a listing returns a job before its progress.
 	prefixProgress = keyRoot + "p/"
 )
 
 // replica is this controller's copy of all keys under keyRoot, updated by a watch.
 type replica struct {
-	loaded       bool
-	loading      bool
-	revision     uint64            // the copy includes all changes up to this revision
+	loaded       bool              // all keys were read, and watches can bring the later changes
+	loading      bool              // a read of all keys is in progress
+	revision     uint64            // the copy includes all changes up to this revision of the state service
 	modRevisions map[string]uint64 // modification revision of each key, or revision of its removal
 	removed      map[string]bool   // removed keys that are still in modRevisions
 	watching     bool              // a watch is in flight
@@ -39,20 +39,24 @@
 	readInFlight   bool
 	nextReadAt     time.Duration // earliest start of the next linearizable read
 	lastContactAt  time.Duration // when the last answered request was sent
-	contactSince   time.Duration // start of the current period of uninterrupted contact
+	contactSince   time.Duration // start of the current or last period of uninterrupted contact
 	completeReadAt time.Duration // when the last read that made this copy complete was sent
 	hasContact     bool          // the state service has answered at least once
 
-	termModRevision    uint64
-	termWinner         string // controller that won the term
-	term               uint64 // last term that was won
+	termModRevision uint64 // modification revision of the term key
+	termWinner      string // controller that won the term
+	term            uint64 // last term that was won
+
+	// These are the leader key's value and modification revision, or "" and 0 if there
+	// is no such key.
 	leaderName         string
 	leaderTerm         uint64
 	leaderLease        uint64
 	leaderModRevision  uint64
 	leaderKeyChangedAt time.Duration // when the leader key was last seen to change or be removed
-	typesModRevision   uint64
-	clusterVersion     int // version that the whole cluster uses: see version.go
+
+	typesModRevision uint64
+	clusterVersion   int // version that the whole cluster uses: see version.go
 }
 
 func (r *replica) init() {
@@ -90,7 +94,8 @@
 	return s.loaded && s.sinceStoreContact() < s.storeContactTimeout()
 }
 
-// load reads all keys again, page by page.
+// load reads all keys, page by page, at the start and whenever a watch cannot bring the
+// missing changes.
 func (s *State) load() {
 	s.loading = true
 	var firstRevision uint64
@@ -106,8 +111,9 @@
 			}
 			if first {
 				// The watch brings the changes after the revision of the first
-				// page. An empty store has revision 0, and the watch must not
-				// miss its first change.
+				// page. That may be 0, the revision of an empty store, so first
+				// tells whether it is known: the revision of a later page would
+				// make the watch miss changes.
 				first, firstRevision = false, result.Revision
 			}
 			for _, item := range result.Items {
@@ -118,7 +124,7 @@
 				loadPage(result.Items[len(result.Items)-1].Key)
 				return
 			}
-			// Keys that were removed during an interruption of the watch are
+			// Keys that were removed while this controller was not watching are
 			// missing from the listing.
 			for _, key := range sortedKeys(s.modRevisions) {
 				if !seen[key] && !s.removed[key] && s.modRevisions[key] <= firstRevision {
@@ -136,8 +142,8 @@
 	loadPage("")
 }
 
-// maintainWatch keeps one watch open. A watch blocks for one second at most, so its
-// answers also show that the state service is reachable.
+// maintainWatch keeps one watch open, or first loads the replica. A watch blocks for one
+// second at most, so its answers also show that the state service is reachable.
 func (s *State) maintainWatch() {
 	if s.now < s.nextWatchAt || s.loading || s.watching || !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
@@ -156,10 +162,10 @@
 	})
 }
 
-// dropTombstones forgets removed keys, so that memory does not grow with every
-// machine and job that ever existed. A tombstone prevents an outdated answer from
-// restoring its key. It is no longer needed when no request is in flight that could
-// bring such an answer.
+// dropTombstones forgets removed keys, so that memory does not grow with every key that
+// ever existed. The revision of a key's removal, its tombstone, prevents an outdated
+// answer from restoring the key. It is no longer needed when no request is in flight
+// that could bring such an answer.
 func (s *State) dropTombstones() {
 	if s.readInFlight || s.txnInFlight || s.loading {
 		return
@@ -173,7 +179,7 @@
 }
 
 // applyWatchResult applies the answer to a watch or a linearizable read that was
-// sent at sentAt. It reports whether the replica is complete as of that time.
+// sent at sentAt. It reports whether the replica now has all changes up to that time.
 func (s *State) applyWatchResult(result StoreResult, sentAt time.Duration) bool {
 	switch result.Status {
 	case 200:
@@ -185,8 +191,8 @@
 		s.logDebug("state read", "sent", sentAt, "received", s.now, "rev", result.Revision, "changes", len(result.Items))
 		return true
 	case 410:
-		// The state service no longer keeps the changes since that revision, so
-		// everything is read again.
+		// The state service no longer keeps the changes since the replica's
+		// revision, so everything is read again.
 		s.loaded = false
 	}
 	s.nextWatchAt = max(s.nextWatchAt, s.now+200*time.Millisecond)
@@ -194,11 +200,14 @@
 }
 
 // linearizableRead calls done(true) once the replica shows the state as of now or
-// later, or done(false) if the state service does not answer. Replies to users must
-// be based on such a read: another controller may have given a user a newer answer.
+// later, or done(false) if the state service does not answer. A reply to a user that a
+// later change could make wrong must be based on such a read: another controller may
+// have given a user a newer answer.
 func (s *State) linearizableRead(done func(ok bool)) { s.pendingReads = append(s.pendingReads, done) }
 
-// sendLinearizableRead sends one request for all pending reads, if none is in flight.
+// sendLinearizableRead sends one request for all pending reads, if none is in flight. The
+// request is a watch that does not block, which returns the changes that the replica
+// lacks. Without contact with the state service, it fails the pending reads instead.
 func (s *State) sendLinearizableRead() {
 	if len(s.pendingReads) == 0 || s.readInFlight || s.now < s.nextReadAt {
 		return
@@ -215,7 +224,8 @@
 	sentAt := s.now
 	s.callStore(StoreCall{Op: StoreWatch, Prefix: keyRoot, AfterRevision: s.revision, Timeout: time.Second}, func(result StoreResult) {
 		s.readInFlight = false
-		// The reads are spaced so that polls alone cannot use up the request rate.
+		// The reads are spaced so that users' polls alone cannot use up the request
+		// rate: all controllers together send a quarter of it at most.
 		s.nextReadAt = sentAt + time.Duration(float64(4*s.electionConfig.Controllers)/s.cfg.StoreRPS*float64(time.Second))
 		s.finishReads(reads, s.applyWatchResult(result, sentAt))
 	})
@@ -252,7 +262,8 @@
 		var value termValue
 		if json.Unmarshal(item.Value, &value) == nil {
 			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Controller
-			// The winner reads all earlier changes before it acts.
+			// The winner reads all earlier changes before it acts, and with them
+			// the cancellations.
 			s.acknowledgeUpTo(item.ModRevision)
 		}
 		s.stepDownIfSuperseded()
@@ -294,7 +305,7 @@
 	return s.modRevisions[key]
 }
 
-// leaderValue is the value of the leader key. The key exists as long as Lease does.
+// leaderValue is the value of the leader key. The key exists no longer than Lease does.
 type leaderValue struct {
 	Controller string `json:"node"`
 	Term       uint64 `json:"term"`
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -19,18 +19,20 @@
 type State struct {
 	cfg            Config
 	electionConfig election.Config
-	now            time.Duration // monotonic time of the last event
+	now            time.Duration // monotonic time of the current event
 	// startedAt is when this process started.
 	startedAt time.Duration
 	// wallMs is the wall-clock time of the last tick, in milliseconds.
 	wallMs     int64
 	wallReadAt time.Duration // monotonic time of the last tick
-	effects    []Effect
+	effects    []Effect      // effects of the current step so far
 	random     *rand.Rand
 
 	pendingCalls map[uint64]func(any) // by call id: the callback that gets the result
 	lastCallID   uint64
 
+	// storeRate limits the requests to the state service, writeRate the changes in its
+	// transactions, and cloudRate the requests to the cloud.
 	storeRate, writeRate, cloudRate *rate.Limiter
 
 	replica
@@ -41,7 +43,8 @@
 	leadState
 	versionState
 
-	// These hold the leader's state, which is reset when a term begins.
+	// These hold state that only the leader uses. What is valid for one term only is
+	// reset when a term begins.
 	takeoverState
 	dispatchState
 	reportState
@@ -52,25 +55,25 @@
 	slowState
 	fleetState
 
-	types           map[string]*model.MachineType
-	typeList        []model.MachineType
+	types           map[string]*model.MachineType // machine types by name
+	typeList        []model.MachineType           // the same types, as last received
 	nextTypesReadAt time.Duration
 
-	jobs     map[string]*job
-	active   map[string]*job // jobs that are not finished
-	machines map[string]*machine
+	jobs     map[string]*job     // by id; finished jobs included
+	active   map[string]*job     // jobs that are neither done nor cancelled
+	machines map[string]*machine // by host
 	// machinesByName holds all machines sorted by name. Loops use this order so that
 	// traces replay.
 	machinesByName      []*machine
-	pageHosts           map[int][]string // machines on each registry page, as last read
-	machinesWithOrphans []*machine       // machines with tasks that they should not have
+	pageHosts           map[int][]string // hosts on each page of the machine registry, as last read
+	machinesWithOrphans []*machine       // machines with orphaned tasks, which must be stopped there
 }
 
 // promiseDuration is how long the leader key and a promise last: a part of the
 // workers' lease. A successor can be elected when both have expired, and a
-// restarted controller waits as long before it gives a promise. The rest of the
-// lease must cover a restart of the controllers and the time that workers need to
-// find the new leader.
+// restarted controller waits as long before it gives a promise. Workers stop their
+// tasks when their lease expires, so the rest of the lease must cover a restart of
+// the controllers and the time that workers need to find the new leader.
 func promiseDuration(cfg Config) time.Duration { return cfg.Lease * 3 / 16 }
 
 // New creates the state of a controller that starts at now.
@@ -87,10 +90,11 @@
 		jobs:         map[string]*job{},
 		active:       map[string]*job{},
 		machines:     map[string]*machine{},
-		// Each controller limits itself to its share of the rate, so that a
-		// burst on one does not get another's requests refused.
+		// Each controller limits itself to its share of the state service's rate, so
+		// that a burst on one does not get another's requests refused. The cloud's
+		// rate is not divided: only the leader calls the cloud regularly.
 		storeRate: rate.NewLimiter(rate.Limit(cfg.StoreRPS*0.95/controllers), max(1, int(cfg.StoreRPS*0.95/controllers))),
-		writeRate: rate.NewLimiter(1, 1),
+		writeRate: rate.NewLimiter(1, 1), // setWriteRate sets the values below
 		cloudRate: rate.NewLimiter(rate.Limit(cfg.CloudRPS*0.8), max(1, int(cfg.CloudRPS*0.8))),
 	}
 	s.setWriteRate(false)
@@ -110,8 +114,9 @@
 	return s
 }
 
-// Step handles one event at now and returns the effects to carry out. The caller
-// owns the returned slice.
+// Step handles one event at now and returns the effects to carry out. An earlier now
+// than that of the event before counts as the same time. The caller owns the returned
+// slice.
 func (s *State) Step(now time.Duration, event Event) []Effect {
 	if now > s.now {
 		s.now = now
@@ -149,8 +154,8 @@
 	return s.effects
 }
 
-// tick does the time-driven work. Its order matters: earlier steps can make later
-// ones possible.
+// tick does the time-driven work. The order of the calls matters: earlier ones can make
+// later ones possible.
 func (s *State) tick() {
 	s.maintainWatch()
 	s.refreshTypes()
@@ -205,8 +210,9 @@
 	done(result)
 }
 
-// callStore sends a call to the state service. When the call completes, done gets its
-// result. Every answer but a refusal (503 or 429) counts as contact with the service.
+// callStore sends a call to the state service, with a timeout of one second unless the
+// call sets one. When the call completes, done gets its result. Every answer but a refusal
+// (503 or 429) counts as contact with the service.
 func (s *State) callStore(call StoreCall, done func(StoreResult)) {
 	sentAt := s.now
 	call.CallID = s.registerCall(func(untyped any) {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -17,10 +17,11 @@
 type Goal struct {
 	StartWithin  time.Duration // target time until a task has started; 0: none
 	FinishWithin time.Duration // target time until a job is done; 0: none
-	DueFactor    float64       // the same in multiples of the job's due time; 0: none
+	DueFactor    float64       // like FinishWithin, in multiples of the job's DueS; 0: none
 }
 
-// Team holds the resources that a team is guaranteed and may use at most (0: no limit).
+// Team holds the resources that a team is guaranteed (0: none) and may use at most (0: no
+// limit).
 type Team struct {
 	Guaranteed, Limit sched.Resources
 }
@@ -29,31 +30,33 @@
 type Config struct {
 	Self        string
 	Peers       []string
-	Incarnation uint64 // differs between processes of this controller; seeds its random source
+	Incarnation uint64 // differs between the processes of this controller, before and after a restart; seeds the random source
 	Teams       map[string]Team
 	Goals       map[string]Goal // by class
 
 	ReportInterval time.Duration // time between two reports of a worker
-	Lease          time.Duration // a worker without answers stops its tasks after this time
+	Lease          time.Duration // a worker whose reports are not answered stops its tasks after this time
 	// CancelWithin is how long after the confirmation of a cancellation the job's tasks
 	// must be gone.
 	CancelWithin time.Duration
-	// GangWaitTimeout is how long a gang's task waits for the others.
-	// GangPeerTimeout is how soon it notices that one of them is gone. 0: no gangs.
+	// GangWaitTimeout is how long a task of a gang, whose tasks all run at the same
+	// time, waits for the other tasks before it gives up. GangPeerTimeout is how soon a
+	// running task notices that another one is gone. 0: no gangs.
 	GangWaitTimeout, GangPeerTimeout time.Duration
 	// Version is the newest version of messages and stored values that this program
 	// knows. It is NewestVersion, except in tests that simulate a previous version.
 	Version      int
 	MaxClockSkew time.Duration // bound on the error of a wall clock; 0: unknown
 
-	StoreRPS      float64
-	StoreWriteRPS float64
-	MaxValueBytes int
-	MaxTxnOps     int
-	CloudRPS      float64
+	// The next fields are the limits of the state service and of the cloud.
+	StoreRPS      float64       // requests to the state service per second
+	StoreWriteRPS float64       // changes of keys in the state service per second
+	MaxValueBytes int           // largest value in the state service
+	MaxTxnOps     int           // changes in one transaction
+	CloudRPS      float64       // requests to the cloud per second
 	ListLag       time.Duration // how far the cloud's list of machines may lag behind
 
-	MaxDirectCommands int // direct commands in flight at a time
+	MaxDirectCommands int // commands to workers (AgentCall) in flight at a time
 	MaxRequests       int // users' and workers' requests in progress at a time
 
 	Tuning
@@ -63,25 +66,26 @@
 
 	// RoundBudget is the time that one dispatch round may take (0: unlimited).
 	// Stopwatch starts a measurement and returns a function that returns the time
-	// since then. If it is nil, rounds count as taking no time.
+	// since then. If Stopwatch is nil, rounds count as taking no time.
 	RoundBudget time.Duration
 	Stopwatch   func() func() time.Duration
 }
 
 // Tuning holds the settings that operators may change.
 type Tuning struct {
-	SkipLimit           int           // how often a waiting job may be skipped for later tasks
+	SkipLimit           int           // how often later tasks may be placed before a waiting job
 	BitmapWriteInterval time.Duration // minimum time between two writes of a job's finished tasks
-	IdleBoots           float64       // an idle machine is kept for this many boot times
+	IdleBoots           float64       // an idle machine is kept for this many boot times of its type
 	// GiveUpBoots is the number of boot times after which a rented machine that has not
 	// reported is given up.
 	GiveUpBoots float64
-	// Patience is the share of a job's spare time that may pass before more expensive
-	// machines are rented.
+	// Patience is the share of a batch job's spare time that may pass before more
+	// expensive machines are rented for it. The spare time is what the goals of its
+	// class leave besides boot, fetch and run.
 	Patience      float64
 	SpareServices int // service tasks for which capacity is reserved
 	SpareGangs    int // gangs for which capacity is reserved
-	MaxMachines   int // maximum number of machines; 0: as many as the cloud offers
+	MaxMachines   int // no more machines are rented once there are this many; 0: no limit
 }
 
 // DefaultTuning returns the values that apply where the operator sets none.
@@ -115,7 +119,7 @@
 type Tick struct{ WallMs int64 }
 
 // Submit is a user's submission, whose form the package api has checked. WallMs is
-// the wall-clock time in milliseconds.
+// the wall-clock time at which it arrived, in milliseconds.
 type Submit struct {
 	RequestID uint64
 	Job       model.Job
@@ -134,11 +138,11 @@
 	ID        string
 }
 
-// HealthCheck is a health check.
+// HealthCheck asks whether this controller can serve requests.
 type HealthCheck struct{ RequestID uint64 }
 
 // WorkerReport is a report that a worker sends by itself, as opposed to one that
-// answers a direct command.
+// answers a command (AgentResult).
 type WorkerReport struct {
 	RequestID uint64
 	Report    model.Report
@@ -146,7 +150,7 @@
 
 // Reply answers a user, a worker or a health check. If SendBefore is set, the reply
 // is sent only before that time: a process that gets too little CPU time must not
-// send it after the leadership behind it has expired.
+// send it after the leadership by whose right it was made has expired.
 type Reply struct {
 	RequestID  uint64
 	Status     int
@@ -163,7 +167,9 @@
 	Running int    `json:"running"`
 }
 
-// ReportReply is the body of a 200 reply to a worker.
+// ReportReply is the body of a 200 reply to a worker, which renews the worker's lease.
+// Epoch is the leader's current epoch for that machine: the worker refuses commands of
+// a lower epoch from then on.
 type ReportReply struct {
 	Epoch  uint64        `json:"epoch"`
 	Orders []model.Order `json:"orders"`
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,36 +1,43 @@
 // Package election decides which controller may act as leader, with which
 // term and until when. It reads no clock: callers pass in monotonic time.
 //
+// The state service holds a term key with the last term that was won, and a
+// leader key, which exists only as long as the leader renews the key's lease.
+//
 // The leader of a term may act while at least one of two conditions holds:
-// (A) its leased key in the state service certainly exists, or (B) a majority
-// of all controllers has promised to support no other. Both are counted
-// from the sending of the request that obtained them, and both are shortened
-// by the clock drift. A candidate first needs promises from a majority and
-// then creates the key, on the precondition that the term key is unchanged.
-// A voter that has promised to support the former leader gives no other
-// promise until that one has expired. Any two majorities share a voter, so a
-// candidate's majority includes a voter whose promise to the former leader is
-// over. The key can be created only after the former leader's lease has
-// ended. A right to act that has expired does not come back: the controller
-// must win a new term.
+// (A) its leader key certainly exists, or (B) promises of a majority of all
+// controllers to support no other controller are in force. The durations of both
+// are counted from the sending of the request that obtained them, and both are
+// shortened by the clock drift. A candidate first needs promises from a majority
+// and then creates the leader key, on the precondition that the term key has not
+// changed since the campaign began. Then neither condition holds for the former
+// leader. Not (A): the key can be created only once the former leader's key is
+// gone. Not (B): a voter that has promised to support the former leader gives no
+// other controller a promise until that one has expired or was released. Any two
+// majorities share a voter, so a candidate's majority includes a voter whose
+// promise to the former leader is over. A right to act that has expired does not
+// come back: the controller must win a new term.
 //
 // A process forgets its promises when it ends. After a start the voter
-// therefore waits until the longest promise of its previous incarnation has
-// expired, or until every other controller has said that it relies on none of
-// them. During this startup wait the voter may still support a pre-approved
-// candidate. Two conditions make that safe. First, the candidate will create
-// its key on the precondition that the term key has the same modification
-// revision that this process has read since its start. Second, the holder of
-// that term relies on no promise of the previous incarnation. Then no other
-// leader can be acting, and once the candidate has won, no other candidate
-// that relies on such a promise can win with that revision.
+// therefore waits until the last promise of its previous incarnation (the
+// process of this controller before the start) has expired, or until every other
+// controller has said that it relies on none of them. During this startup wait
+// the voter may still support a pre-approved candidate. Two conditions make that
+// safe. First, the candidate will create its key on the precondition that the
+// term key has the same modification revision (the revision of the state service
+// at which a key was last changed) that this process has read since its start.
+// Second, the controller that won the term stored there relies on no promise of
+// the previous incarnation. Then no other leader can be acting, and once the
+// candidate has won, no other candidate that relies on such a promise can win
+// with that revision.
 //
 // While the state service refuses the leader, promises may keep it acting, and
-// another controller may confirm cancellations that the leader does not learn
-// of. The leader's view may therefore be no older than Config.MaxStaleness.
-// For each of the other controllers, the age is counted from the last read of
-// the state service, or from the end of the read lease that it has granted to
-// the leader. While a read lease is in force, its grantor confirms no cancellation
+// another controller may confirm to a user a cancellation that the leader does not
+// learn of. The leader's view of the cancellations may therefore be no older than
+// Config.MaxStaleness. For each of the other controllers, the age is counted from
+// the last read of the state service or from the end of the read lease that this
+// controller has granted to the leader, whichever is later; the highest of these
+// ages counts. While a read lease is in force, its grantor confirms no cancellation
 // that the leader has not acknowledged (as with quorum leases, whose holders
 // are informed before a write is confirmed). Once the view is older, the leader
 // may not act, whoever supports it.
@@ -41,13 +48,13 @@
 	"time"
 )
 
-// Config holds the durations of the election. All are derived from the settings.
+// Config holds the parameters of the election. All are derived from the settings.
 type Config struct {
 	Self            string
 	Controllers     int           // number of controllers, including this one
 	KeyTTL          time.Duration // duration of the leader key's lease in the state service
 	PromiseDuration time.Duration // how long a promise binds its voter
-	ClockDrift      float64       // relative drift between two monotonic clocks
+	ClockDrift      float64       // bound on the relative drift between two monotonic clocks
 	// MaxStaleness is how old a leader's view of the cancellations may be (0: any
 	// age). ReadLeaseDuration is how long a read lease binds its grantor.
 	MaxStaleness, ReadLeaseDuration time.Duration
@@ -60,27 +67,28 @@
 	promisedTo       string        // controller that the last promise supports
 	term             uint64        // term of the last promise
 	promisedUntil    time.Duration // end of the last promise
-	highestTerm      uint64        // highest term ever supported
+	highestTerm      uint64        // highest term that this incarnation has supported
 	// The candidate that may be supported during the startup wait.
 	preapprovedController string
 	preapprovedTerm       uint64
 	// readTerm is the highest term whose leader this incarnation has granted a
-	// read lease, readUntil the end of the last one. A read lease that the
-	// previous incarnation granted may bind until previousReadUntil, and its
-	// holder's term is at most previousReadTerm.
+	// read lease, and readUntil the latest end of its read leases. A read lease
+	// that the previous incarnation granted may bind until previousReadUntil, and
+	// the term of the leader that holds it is at most previousReadTerm.
 	readTerm, previousReadTerm   uint64
 	readUntil, previousReadUntil time.Duration
 }
 
 // NewVoter creates a voter that starts at now. Its startup wait lasts as long as a
-// promise that the previous incarnation may have given just before it ended.
+// promise that the previous incarnation may have given just before it ended. A read
+// lease granted at that time counts as well, for a leader of any term.
 func NewVoter(cfg Config, now time.Duration) *Voter {
 	return &Voter{cfg: cfg, startupWaitUntil: now + cfg.lengthenForDrift(cfg.PromiseDuration), previousReadTerm: math.MaxUint64, previousReadUntil: now + cfg.lengthenForDrift(cfg.ReadLeaseDuration)}
 }
 
 // EndStartupWait ends the startup wait early. The caller has heard from every
 // other controller, since this process started, that it relies on no promise of
-// the previous incarnation.
+// the previous incarnation, and so on no read lease, which only comes with a promise.
 func (v *Voter) EndStartupWait() { v.startupWaitUntil, v.previousReadUntil = 0, 0 }
 
 // GrantReadLease gives the leader of term a read lease.
@@ -96,10 +104,10 @@
 	v.previousReadTerm = min(v.previousReadTerm, term)
 }
 
-// HasReadLease reports whether a read lease binds this voter, given the last term
-// that it knows to be won. Leases granted to leaders of lower terms don't count,
-// since those no longer act. A lease that the previous incarnation may have
-// granted and forgotten counts as granted to the leader of that time.
+// HasReadLease reports whether a read lease that this voter granted binds it, given
+// the last term that it knows to be won. Leases granted to leaders of lower terms
+// don't count, since those leaders no longer act. A lease that the previous
+// incarnation may have granted counts as granted in previousReadTerm.
 func (v *Voter) HasReadLease(now time.Duration, term uint64) bool {
 	return now < v.previousReadUntil && v.previousReadTerm >= term || now < v.readUntil && v.readTerm >= term
 }
@@ -111,13 +119,15 @@
 }
 
 // lengthenForDrift returns how long a voter or grantor must keep an obligation of
-// duration d on its own clock, so that it outlasts d on the holder's clock.
+// duration d on its own clock, so that it outlasts d on the holder's clock. The
+// margin is twice the drift, and a millisecond.
 func (c Config) lengthenForDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*c.ClockDrift) + time.Millisecond
 }
 
 // Grant promises to support the controller in term and returns true. It returns false
-// if the startup wait, a promise to another controller or a higher term forbids that.
+// if the startup wait (unless the campaign is pre-approved), a promise to another
+// controller or support for a higher term forbids that.
 func (v *Voter) Grant(now time.Duration, controller string, term uint64) bool {
 	if now < v.startupWaitUntil && (controller != v.preapprovedController || term != v.preapprovedTerm) || term < v.highestTerm {
 		return false
@@ -147,7 +157,7 @@
 // CanPromise reports whether the startup wait is over at now.
 func (v *Voter) CanPromise(now time.Duration) bool { return now >= v.startupWaitUntil }
 
-// HighestTerm returns the highest term that this voter has supported.
+// HighestTerm returns the highest term that this voter has supported since its start.
 func (v *Voter) HighestTerm() uint64 { return v.highestTerm }
 
 // Leadership is a campaign for one term, and the leadership that follows once
@@ -160,15 +170,15 @@
 	// requests for promises carry it.
 	TermModRevision   uint64
 	campaignStartedAt time.Duration
-	keyRequestedAt    time.Duration // when the key's last successful request or renewal was sent
+	keyRequestedAt    time.Duration // when the key's lease was requested, or last renewed with success
 	hasKey            bool
 	promises          map[string]time.Duration // by voter: when the promise was requested
-	// majorityUntil is when the majority of promises may end. It is read with
-	// every event, so it is computed only when a promise arrives.
+	// majorityUntil is when promises of a majority may no longer be in force. It is
+	// read with every event, so it is computed only when a promise arrives.
 	majorityUntil   time.Duration
-	lastReadAt      time.Duration            // when the last complete read of the state was sent
+	lastReadAt      time.Duration            // when the last complete read of the state service was sent
 	readLeasesUntil map[string]time.Duration // by grantor: when its read lease may end
-	viewValidUntil  time.Duration            // the view is recent enough until then
+	viewValidUntil  time.Duration            // the view of the cancellations is recent enough until then
 	elected         bool
 	ended           bool
 }
@@ -221,10 +231,11 @@
 // ViewValidUntil returns the time until which the leader's view is recent enough.
 func (l *Leadership) ViewValidUntil() time.Duration { return l.viewValidUntil }
 
-// RecordPromise records a controller's promise that was requested at requestedAt.
+// RecordPromise records a controller's promise that was requested at requestedAt. It
+// ignores the promise if the campaign or leadership has ended.
 func (l *Leadership) RecordPromise(now time.Duration, controller string, requestedAt time.Duration) {
-	// A promise that an earlier campaign requested doesn't count: its voter may
-	// have been released from it since.
+	// A promise that an earlier campaign requested doesn't count: the voter may
+	// have been released from that promise since.
 	if l.expireIfDue(now) || requestedAt < l.campaignStartedAt {
 		return
 	}
@@ -271,7 +282,7 @@
 }
 
 // KeyValidUntil returns the earliest time at which the leader key may expire, or 0 if
-// the state service does not hold it.
+// the key is not known to exist.
 func (l *Leadership) KeyValidUntil() time.Duration {
 	if !l.hasKey {
 		return 0
@@ -280,13 +291,14 @@
 }
 
 // computeMajorityUntil returns until when promises of a majority are in force, or
-// 0 without a majority.
+// 0 if fewer controllers have given one.
 func (l *Leadership) computeMajorityUntil() time.Duration {
 	quorum := l.cfg.Controllers/2 + 1
 	if len(l.promises) < quorum {
 		return 0
 	}
-	// The request times are sorted, latest first: the quorum-th bounds the majority.
+	// The request times are sorted, latest first. Of the quorum latest promises, the
+	// last one in this order ends first.
 	requestTimes := make([]time.Duration, 0, len(l.promises))
 	for _, requestedAt := range l.promises {
 		position := len(requestTimes)
@@ -310,6 +322,7 @@
 		return 0
 	}
 	until := max(l.KeyValidUntil(), l.majorityUntil)
+	// Without other controllers, no cancellation can be confirmed elsewhere.
 	if l.cfg.MaxStaleness > 0 && l.cfg.Controllers > 1 {
 		until = min(until, l.viewValidUntil)
 	}
@@ -325,8 +338,8 @@
 	return l.ended
 }
 
-// CanAct reports whether this leadership may act at now. Once an elected leadership
-// may not, it may never act again.
+// CanAct reports whether this leadership may act at now. If an elected leadership may
+// not, the call ends it: it may never act again.
 func (l *Leadership) CanAct(now time.Duration) bool {
 	return l.elected && !l.expireIfDue(now)
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -9,8 +9,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestVoterWaitsAfterStart checks that a restarted process gives no promise while one
-// that its previous incarnation gave, and that it has forgotten, may be in force.
+// TestVoterWaitsAfterStart checks that a restarted process gives no promise while a
+// forgotten one, which its previous incarnation gave, may be in force.
 func TestVoterWaitsAfterStart(t *testing.T) {
 	v := NewVoter(cfg, 0)
 	if v.Grant(ms(2999), "a", 1) {
@@ -65,7 +65,7 @@
 	leadership := NewLeadership(cfg, 0, 7, 0)
 	leadership.RecordPromise(0, "a", 0)
 	if leadership.ConfirmElection(ms(10), 0) {
-		t.Fatal("elected with one promise of three controllers, want two")
+		t.Fatal("elected with the promise of one of three controllers, want not")
 	}
 	leadership = NewLeadership(cfg, 0, 7, 0)
 	leadership.RecordPromise(0, "a", 0)
@@ -83,14 +83,14 @@
 	leadership.RecordPromise(0, "a", 0)
 	leadership.RecordPromise(0, "b", 0)
 	if !leadership.ConfirmElection(ms(10), 0) {
-		t.Fatal("not elected with two of three promises and the key")
+		t.Fatal("not elected with two of three promises and the key, want elected")
 	}
 	// During an outage of the state service only promises are renewed.
 	for at := 1000; at < 20000; at += 1000 {
 		leadership.RecordPromise(ms(at), "a", ms(at))
 		leadership.RecordPromise(ms(at), "c", ms(at))
 		if !leadership.CanAct(ms(at + 900)) {
-			t.Fatalf("at %d ms: cannot act on promises alone, want yes", at)
+			t.Fatalf("at %d ms: cannot act 900 ms later on promises alone, want yes", at)
 		}
 	}
 	// After that only the key is renewed.
@@ -145,13 +145,13 @@
 	}{
 		{"the previous incarnation may have granted one", func(v *Voter) {}, 1000, 4, true},
 		{"a lease of the previous incarnation has expired", func(v *Voter) {}, 20100, 4, false},
-		{"its holder's term was over before this incarnation read the state", func(v *Voter) { v.LimitPreviousReadLease(4) }, 1000, 5, false},
-		{"its holder may still lead", func(v *Voter) { v.LimitPreviousReadLease(4) }, 1000, 4, true},
+		{"the previous incarnation's lease was for a term that was over before this incarnation read the state", func(v *Voter) { v.LimitPreviousReadLease(4) }, 1000, 5, false},
+		{"the holder of the previous incarnation's lease may still lead", func(v *Voter) { v.LimitPreviousReadLease(4) }, 1000, 4, true},
 		{"no controller relies on the previous incarnation", func(v *Voter) { v.EndStartupWait() }, 1000, 4, false},
 		{"granted by this incarnation", func(v *Voter) { v.EndStartupWait(); v.GrantReadLease(ms(500), 4) }, 20400, 4, true},
 		{"granted by this incarnation, and expired", func(v *Voter) { v.EndStartupWait(); v.GrantReadLease(ms(500), 4) }, 20600, 4, false},
 		{"granted by this incarnation to a leader whose term is over", func(v *Voter) { v.EndStartupWait(); v.GrantReadLease(ms(500), 4) }, 1000, 5, false},
-		{"the end of the startup wait does not end it", func(v *Voter) { v.GrantReadLease(ms(500), 4); v.EndStartupWait() }, 1000, 4, true},
+		{"the end of the startup wait does not end a lease granted by this incarnation", func(v *Voter) { v.GrantReadLease(ms(500), 4); v.EndStartupWait() }, 1000, 4, true},
 	}
 	for _, c := range voters {
 		v := NewVoter(readLeaseConfig, 0)
@@ -167,10 +167,10 @@
 		do   func(l *Leadership)
 		want int // last whole second at which the leader may act
 	}{
-		{"the last read limits it", func(l *Leadership) {}, 9},
-		{"a later read extends it", func(l *Leadership) { l.RecordRead(ms(4000)) }, 13},
-		{"a read lease from one of two controllers does not extend it", func(l *Leadership) { l.RecordReadLease("b", ms(3000), 0, true) }, 9},
-		{"read leases from both controllers extend it", func(l *Leadership) {
+		{"the last read limits the leadership", func(l *Leadership) {}, 9},
+		{"a later read extends the leadership", func(l *Leadership) { l.RecordRead(ms(4000)) }, 13},
+		{"a read lease from one of the two other controllers does not extend the leadership", func(l *Leadership) { l.RecordReadLease("b", ms(3000), 0, true) }, 9},
+		{"read leases from both other controllers extend the leadership", func(l *Leadership) {
 			l.RecordReadLease("b", ms(3000), 0, true)
 			l.RecordReadLease("c", ms(5000), 0, true)
 		}, 32},
@@ -187,14 +187,14 @@
 			l.RecordReadLease("b", ms(9000), ms(8000), false)
 			l.RecordReadLease("c", ms(9000), 0, true)
 		}, 38},
-		{"a late answer to an earlier read does not shorten it", func(l *Leadership) { l.RecordRead(ms(4000)); l.RecordRead(ms(1000)) }, 13},
+		{"a late answer to an earlier read does not shorten the leadership", func(l *Leadership) { l.RecordRead(ms(4000)); l.RecordRead(ms(1000)) }, 13},
 	}
 	for _, c := range leaderships {
 		leadership := NewLeadership(readLeaseConfig, 0, 4, 3)
 		leadership.RecordPromise(0, "a", 0)
 		leadership.RecordPromise(0, "b", 0)
 		if !leadership.ConfirmElection(0, 0) {
-			t.Fatal("not elected with two of three promises and the key")
+			t.Fatal("not elected with two of three promises and the key, want elected")
 		}
 		c.do(leadership)
 		for at := 1000; at < 60000; at += 1000 {
