--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -8,7 +8,8 @@
 )
 
 // A campaign first collects promises from a majority of the controllers and then
-// creates the leader key in the state service.
+// creates the leader key in the state service. A promise, or vote, binds a controller
+// for a limited time to support no other candidate or leader (see package election).
 
 // campaignDelay returns a random delay before the next campaign. It spreads campaigns
 // out, so that two candidates rarely split the promises between them.
@@ -35,14 +36,15 @@
 	}
 	if s.steppedDownUnreached && s.now-s.leaderKeyChangedAt < s.cfg.Lease/4 {
 		// This controller stepped down because no worker reached it, and it has
-		// received no report since. The others go first: if it were elected
+		// received no report since. For a quarter of a lease after the leader key
+		// was removed, the other controllers go first: if this one were elected
 		// again, the workers would lose their leases.
 		return
 	}
 	if s.leadershipExpiredAt != 0 && s.now-s.leadershipExpiredAt < s.cfg.Lease && s.now-s.leaderKeyChangedAt < s.electionConfig.PromiseDuration/2 {
 		// This controller could not renew its last leadership in time, so the
-		// others go first. Otherwise two slow controllers can take turns as leader
-		// while a third would work well.
+		// other controllers go first for half a promise duration. Otherwise two
+		// slow controllers can take turns as leader while a third would work well.
 		return
 	}
 	term := max(s.term, s.voter.HighestTerm())
@@ -99,8 +101,9 @@
 	})
 }
 
-// requestLeaderKey writes the term key and creates the leader key, if both are as they
-// were when the promises were given.
+// requestLeaderKey writes the term key and creates the leader key, on the preconditions
+// that the term key has not changed since the campaign began and that there is no leader
+// key.
 func (s *State) requestLeaderKey() {
 	leadership, leaseRequestedAt := s.leadership, s.leaseRequestedAt
 	s.callStore(StoreCall{
@@ -123,8 +126,8 @@
 	})
 }
 
-// leaderKeyNotWon ends a campaign whose request for the leader key failed or was
-// answered only after the promises had expired.
+// leaderKeyNotWon ends a campaign whose request for the leader key failed, or succeeded
+// but was answered only after the promises had expired.
 func (s *State) leaderKeyNotWon(result StoreResult) {
 	s.log(slog.LevelDebug, "leader key not won", "term", s.leadership.Term, "status", result.Status, "failed", result.FailedKeys)
 	if result.Status == 409 {
@@ -168,9 +171,9 @@
 	})
 }
 
-// recordVoteRefusal records a peer's refusal. It ends a campaign that cannot get a
-// majority any more, so that this controller's promise to itself does not block
-// another candidate.
+// recordVoteRefusal records a peer's refusal of a promise for this campaign. It ends a
+// campaign that cannot get a majority any more, so that this controller's promise to
+// itself does not block another candidate.
 func (s *State) recordVoteRefusal(peer *peerState) {
 	peer.refusedTerm = s.leadership.Term
 	possibleVotes := s.electionConfig.Controllers
@@ -185,8 +188,9 @@
 }
 
 // requestVotes asks this controller's own voter and the peers for promises, as
-// candidate or leader. The next request is due after interval. A leader also asks for
-// read leases once its last complete read is older than a quarter of the allowed age.
+// candidate or leader. The next request is due after interval. A leader that has caught
+// up also asks for read leases (see package election) once its last complete read is
+// older than a quarter of the allowed age.
 func (s *State) requestVotes(interval time.Duration) {
 	s.requestVotesAt = s.now + interval
 	leadership := s.leadership
--- a/internal/core/forward.go
+++ b/internal/core/forward.go
@@ -7,7 +7,8 @@
 	"mulleinfall/internal/model"
 )
 
-// A controller that has lost the state service forwards users' requests to a peer.
+// A controller that has lost the state service forwards users' requests to a peer, and
+// passes the peer's replies to the users.
 
 // requester identifies where a request came from and where its reply goes: a user of
 // this controller (requestID), or a peer that has forwarded a user's request because it
@@ -32,10 +33,11 @@
 	}
 }
 
-// forwardToPeer forwards a user's request to a peer that reaches the state service, and
-// reports whether there was one. A request that a peer has forwarded is not forwarded
-// again. This controller may have tried the same change before without learning the
-// outcome. That is safe: the preconditions ensure that the change is made only once.
+// forwardToPeer forwards a user's request to a peer that reaches the state service and was
+// heard recently, and reports whether there was one. A request that a peer has forwarded
+// is not forwarded again. This controller may have tried the same change before without
+// learning the outcome. That is safe: the preconditions ensure that the change is made
+// only once.
 func (s *State) forwardToPeer(from requester, verb, id string, value []byte, wallMs int64) bool {
 	if from.peer != "" {
 		return false
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -21,7 +21,7 @@
 	// one. Votes are next requested at requestVotesAt, the leader key is next renewed
 	// at renewAt, and a restart is next announced at announceRestartAt. Until
 	// noCampaignUntil this controller does not campaign, because it has stepped down
-	// in favor of another.
+	// in favor of another controller.
 	campaignAt, requestVotesAt, renewAt, announceRestartAt, noCampaignUntil time.Duration
 
 	// steppedDownUnreached is set if this controller stepped down because no worker
@@ -29,11 +29,11 @@
 	steppedDownUnreached bool
 	leadershipExpiredAt  time.Duration // when its right to act last expired; 0: never
 
-	electedAt       time.Duration // 0: not elected in the current term
-	electedRevision uint64
+	electedAt       time.Duration      // when leadership was won; 0: none, or still a campaign
+	electedRevision uint64             // revision at which it was won
 	previousTerm    uint64             // last term that was won when the campaign began
 	transfer        leadershipTransfer // received from a leader whose term has ended
-	firstTerm       bool               // no controller has led, and so rented, before this term
+	firstTerm       bool               // no controller has led, and so rented machines, before this term
 	caughtUp        bool               // the replica includes all changes before the election
 }
 
@@ -42,9 +42,11 @@
 	return s.leadership != nil && s.caughtUp && s.leadership.CanAct(s.now)
 }
 
-// Epochs, task attempts and rental requests are identified by the term and a counter,
-// so that none is used twice. In epochs and attempts the term is shifted left by these
-// numbers of bits, and the counter is in the low bits. All stay below 2^53.
+// Epochs (which order a leader's commands to a machine, see commands.go), attempts to run
+// a task, and rental requests are identified by the term and a counter, so that none is
+// used twice. In epochs and attempts the term is shifted left by these numbers of bits,
+// and the counter is in the low bits. All stay below 2^53, so that they are exact as
+// numbers in JSON.
 const (
 	fenceBits   = 20
 	attemptBits = 24
@@ -62,7 +64,8 @@
 }
 
 // stepDownIfSuperseded ends a leadership or campaign if a higher term was won, and a
-// campaign also if another controller has won its term.
+// campaign also if its term was won by another controller. While the campaign's own
+// request for the leader key is in flight, that request may be what won the term.
 func (s *State) stepDownIfSuperseded() {
 	if s.leadership != nil && s.term > s.leadership.Term {
 		s.stepDown("a higher term was won")
@@ -84,10 +87,11 @@
 	} else {
 		s.log(slog.LevelDebug, "campaign ended", "term", term, "why", why)
 	}
-	// The promises and the lease are released early, because this controller no
-	// longer relies on them. A term that was won is never used again, so its release
-	// is valid for every incarnation (0). A term that was not won may be used again
-	// after a restart, so its release names this incarnation.
+	// The promises and the lease of the leader key are released early, because this
+	// controller no longer relies on them. A term that was won is never used again,
+	// so its release is valid for every incarnation (0). A term that was not won may
+	// be used again after a restart of this controller, so its release names this
+	// incarnation.
 	incarnation := s.cfg.Incarnation
 	if s.electedAt != 0 {
 		incarnation = 0
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,8 +15,8 @@
 	// had lost the state service.
 	refusedForStoreAt time.Duration
 
-	refusedTerm         uint64 // last term in which it refused a promise
-	highestTerm         uint64 // highest term that it knows of
+	refusedTerm         uint64 // last of this controller's campaigns for which it refused a promise
+	highestTerm         uint64 // highest term that it knows of, as it last said
 	version             int    // newest version that it knows, as it last said or stored
 	versionStored       bool   // its version is stored in the state service
 	promisedIncarnation uint64 // its incarnation that last got a promise from this controller
@@ -62,15 +62,15 @@
 	}
 }
 
-// handlePeerRestart releases a controller that has just started from the promises of
-// its previous incarnation, unless this controller may rely on one.
+// handlePeerRestart releases a peer that has just started from the promises of its
+// previous incarnation, unless this controller may rely on one of them.
 func (s *State) handlePeerRestart(from string, message PeerMsg) {
 	if s.leadership != nil && (s.electedAt != 0 || s.keyRequestInFlight) {
 		return // this controller may rely on such a promise, so the peer must wait
 	}
 	if s.leadership != nil {
-		// Promises that are still on their way here are void with the campaign
-		// that requested them.
+		// The campaign that requested such promises ends, so those that are still on
+		// their way here won't count either.
 		s.stepDown("a voter has restarted")
 	}
 	s.emit(PeerOut{from, PeerMsg{Kind: MsgPromisesReleased, Ask: message.Ask}})
@@ -102,15 +102,17 @@
 }
 
 // onlyRequesterLostStore reports whether the requester has lost the state service while
-// this controller has reached it for some time.
+// this controller has reached it recently and for some time without interruption.
 func (s *State) onlyRequesterLostStore(request PeerMsg) bool {
 	timeout := s.storeContactTimeout()
 	return request.StoreAge > timeout && s.sinceStoreContact() < timeout/2 && s.lastContactAt-s.contactSince > timeout/2
 }
 
-// yieldsToCandidate reports whether this controller's campaign gives way to another's.
-// Without that, two candidates that are each bound by their promise to themselves would
-// wait for each other's promises until both give up.
+// yieldsToCandidate reports whether this controller's campaign gives way to the
+// requester's: to one for a higher term or, in the same term, of the controller whose name
+// sorts first, if the requester reaches the state service. Without that, two candidates
+// that are each bound by their promise to themselves would wait for each other's promises
+// until both give up.
 func (s *State) yieldsToCandidate(from string, request PeerMsg, requesterLostStore bool) bool {
 	if s.leadership == nil || s.electedAt != 0 || s.keyRequestInFlight || requesterLostStore || !request.StoreOK {
 		return false
@@ -118,14 +120,14 @@
 	return request.Term > s.leadership.Term || request.Term == s.leadership.Term && from < s.cfg.Self
 }
 
-// handlePromise handles the answer to a request for a vote.
+// handlePromise handles the answer to a vote request: a promise or a refusal.
 func (s *State) handlePromise(from string, peer *peerState, answer PeerMsg) {
 	peer.reachesStore, peer.heardAt, peer.highestTerm = answer.StoreOK, s.now, answer.Top
 	s.handlePeerVersion(from, answer.Version)
 	if s.leadership == nil || s.leadership.Term != answer.Term || answer.Ask != s.cfg.Incarnation {
-		// In a late answer to the previous incarnation, Sent is a time of that
-		// process's clock. If it counted, the promise could seem valid for as long
-		// as that process had run.
+		// The answer is to another campaign or incarnation. In a late answer to the
+		// previous incarnation, Sent is a time of that process's clock. If it
+		// counted, the promise could seem valid for as long as that process had run.
 		return
 	}
 	switch {
@@ -136,7 +138,7 @@
 			s.advanceCampaign()
 		}
 	case answer.Cut:
-		// Only this kind of refusal is recorded: a peer that refuses because of
+		// Only this kind of refusal counts here: a peer that refuses because of
 		// another promise says nothing about the state service.
 		peer.refusedForStoreAt = s.now
 	case s.electedAt == 0 && !s.keyRequestInFlight:
@@ -144,8 +146,8 @@
 	}
 }
 
-// applyRunningCounts applies the leader's numbers of running tasks, which replies to
-// users show.
+// applyRunningCounts applies the leader's numbers of running tasks by job, which replies
+// to users show.
 func (s *State) applyRunningCounts(counts map[string]int) {
 	for id, running := range counts {
 		if j := s.active[id]; j != nil {
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// maintainLeadership renews the promises and the leader key. It steps down if this
-// controller cannot serve and another one could lead.
+// maintainLeadership renews the promises and the leader key, and raises the cluster
+// version if that is due. It steps down if this controller cannot serve, because it has
+// lost the state service or the workers, and another one could lead.
 func (s *State) maintainLeadership() {
 	if s.now >= s.requestVotesAt {
 		s.requestVotes(s.electionConfig.PromiseDuration / 4)
@@ -17,7 +18,7 @@
 	if s.sinceStoreContact() > s.storeContactTimeout() {
 		// This leader is cut off from the state service. If a peer that reaches the
 		// service has refused to renew its promise for that reason, this leader steps
-		// down without waiting for the promises to expire.
+		// down without waiting for the other promises to expire.
 		for _, p := range s.peers {
 			if p.reachesStore && s.now-p.heardAt < s.electionConfig.PromiseDuration/2 && p.refusedForStoreAt > s.now-s.electionConfig.PromiseDuration/2 {
 				s.noCampaignUntil = s.now + s.electionConfig.PromiseDuration
@@ -36,11 +37,11 @@
 
 // isCutFromWorkers reports whether no worker's report has arrived for a third of a
 // lease, though there are machines that should report, and a peer could lead instead.
-// A worker waits 4 s for an answer and then 1 s more before it turns to the next
-// controller. There is no time to wait until a worker has reported to another
-// controller: the leader steps down early, so that a successor is ready when the
-// workers turn to it. If the machines themselves are gone, their leases expire and
-// stepping down does no further harm.
+// It waits until two thirds of a lease after the election. A worker waits 4 s for an
+// answer and then 1 s more before it turns to the next controller. So there is no time to
+// wait for a peer to say that workers have turned to it: the leader steps down early, so
+// that a successor is ready when they do. If the machines themselves are gone, their
+// leases expire and stepping down does no further harm.
 func (s *State) isCutFromWorkers() bool {
 	timeout := s.cfg.Lease / 3
 	if s.now-s.lastReportAt < timeout || s.now-s.electedAt < 2*timeout {
@@ -63,8 +64,8 @@
 	s.renewalInFlight = true
 	s.renewAt = s.now + s.electionConfig.KeyTTL/4
 	// A renewal counts from its sending, so a late answer still covers the rest of
-	// the key's TTL. With a timeout of one second, a leader that is short of CPU
-	// time gets no renewal in time and loses its term.
+	// the key's TTL. With the usual timeout of one second, a leader that is short of
+	// CPU time would get no renewal in time and lose its term.
 	s.callStore(StoreCall{Op: StoreRenew, Lease: leaseID, Timeout: s.electionConfig.KeyTTL * 3 / 4}, func(result StoreResult) {
 		if s.leadership != leadership {
 			return
@@ -83,7 +84,7 @@
 }
 
 // recreateKey creates the leader key again, after its lease ended while promises kept
-// the leadership valid. The precondition on the term key makes it fail once another
+// the leadership valid. The precondition on the term key makes this fail once another
 // controller has been elected. The new lease counts only when the key is known to
 // exist under it: a leader that renewed a lease without the key would wrongly believe
 // that no other controller can be elected.
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -3,11 +3,13 @@
 import "log/slog"
 
 // A controller that has just started has forgotten the promises that its previous
-// incarnation gave.
+// incarnation gave. Its voter gives no promise during a startup wait, unless other
+// controllers show that no forgotten promise counts (see package election).
 
-// announceRestart asks the peers, after a start, to release this controller from
-// promises of its previous incarnation. If it waited until these have expired, a crash
-// of all controllers would cost the workers a part of their lease.
+// announceRestart asks the peers, during the startup wait, to release this controller from
+// promises of its previous incarnation. Without that, the startup wait lasts until these
+// promises have expired, and a crash of all controllers costs the workers a part of their
+// lease.
 func (s *State) announceRestart() {
 	if s.voter.CanPromise(s.now) || s.now < s.announceRestartAt {
 		return
@@ -38,9 +40,10 @@
 // preapprove lets this controller support a candidate during its startup wait. Without
 // that, the workers lose a fifth of their lease after a crash while another controller
 // is unreachable and cannot release the earlier promises. The conditions are explained
-// in the package election: this process has read the modification revision of the term
-// key since its start, and the holder of that term is this controller's own previous
-// incarnation or has said that it relies on no earlier promise.
+// in the package election: this process has read, since its start, the modification
+// revision of the term key that the candidate names; and either no term was won yet, or
+// the winner of the last term is this controller's own previous incarnation or has said
+// that it relies on no earlier promise.
 func (s *State) preapprove(candidate string, term, termModRevision uint64) {
 	if s.voter.CanPromise(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
@@ -51,9 +54,9 @@
 }
 
 // releasePreviousIncarnation ends what is left of a leadership that this controller had
-// before it restarted: the leader key and the promises to it. No process acts on them
-// any more. If the other controllers waited until they expire, the workers would lose
-// their leases.
+// before it restarted: the leader key, and the promises that support that leader. No
+// process acts on them any more. If the other controllers waited until key and promises
+// expire, the workers would lose their leases.
 func (s *State) releasePreviousIncarnation() {
 	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -3,19 +3,21 @@
 import "time"
 
 // A leader that steps down tells its peers which machines it has not replied to
-// recently, and for how long. Without that, its successor has to count those machines'
-// leases from its own election. When a zone is cut off and the leader loses the state
-// service before it can mark the zone's machines as unresponsive, their services would
-// then stay down for a further lease.
+// recently, and for how long. Without that message, its successor would have to assume
+// replies until its own election, from which those machines' leases would count. When a
+// zone is cut off and the leader loses the state service before it can mark the zone's
+// machines as unresponsive in the registry, their services would then stay down for a
+// further lease.
 
-// leadershipTransfer is what a leader reported about its machines when its term ended.
+// leadershipTransfer is the content of the message that a leader sent when its term ended.
 type leadershipTransfer struct {
 	term         uint64
 	receivedAt   time.Duration  // when the message arrived, which is after it was sent
-	sinceReplyMs map[string]int // by machine: milliseconds since the last reply to it
+	sinceReplyMs map[string]int // by machine: milliseconds from the last reply to it until the message
 }
 
-// transferLeadership sends the peers that report, once this term has ended for good.
+// transferLeadership sends the peers this message. The caller has ended this controller's
+// leadership of term for good.
 func (s *State) transferLeadership(term uint64) {
 	sinceReplyMs := map[string]int{}
 	for _, m := range s.machinesByName {
@@ -31,12 +33,12 @@
 	}
 }
 
-// handleTransfer applies a former leader's report. It may arrive before or after this
-// controller's own election.
+// handleTransfer applies a former leader's message. It may arrive before or after this
+// controller's own election. Machines that have reported to this controller don't need it.
 func (s *State) handleTransfer(message PeerMsg) {
 	if message.Term <= s.transfer.term {
 		// The message is of an earlier term, or a late copy. The times in a copy
-		// would count from its own arrival and so be too late.
+		// would count from the arrival of the copy and so be too late.
 		return
 	}
 	s.transfer = leadershipTransfer{message.Term, s.now, message.Counts}
@@ -50,9 +52,9 @@
 	}
 }
 
-// transferredReplyAt returns when the previous leader last replied to m, if it has
-// reported that. A report of an earlier leader does not count: the leaders in between
-// may have replied to m since.
+// transferredReplyAt returns the latest time at which the previous leader can have replied
+// to m, if its message says that. The message of an earlier leader does not count: the
+// leaders in between may have replied to m since.
 func (s *State) transferredReplyAt(m *machine) (time.Duration, bool) {
 	ms, ok := s.transfer.sinceReplyMs[m.host]
 	return s.transfer.receivedAt - time.Duration(ms)*time.Millisecond, ok && s.transfer.term == s.previousTerm
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -15,8 +15,8 @@
 	modRevision uint64 // modification revision that the key must have
 	leaderTerm  uint64 // only the leader of this term may write it; 0: any controller may
 	deadline    time.Duration
-	done        func(outcome)
-	alsoRemove  []Change // keys removed in the same transaction
+	done        func(outcome) // called once, with the result
+	alsoRemove  []Change      // keys removed in the same transaction, without preconditions
 	class       writeClass
 	isObsolete  func() bool // if set, reports whether the write is no longer needed
 }
@@ -26,10 +26,10 @@
 type writeClass int
 
 const (
-	classUser   writeClass = iota
-	classJobEnd            // ends of jobs, for which users wait too
-	classRegistry
-	classBitmap
+	classUser     writeClass = iota // submissions and cancellations
+	classJobEnd                     // ends of jobs, for which users wait too
+	classRegistry                   // registry pages, machine types and versions
+	classBitmap                     // bitmaps of finished tasks
 )
 
 // outcome is the result of a write.
@@ -37,8 +37,8 @@
 
 const (
 	written  outcome = iota // the change is durable
-	conflict                // the key has changed meanwhile; the replica holds the new value
-	failed                  // the change may or may not be durable; it is not retried
+	conflict                // the key had another modification revision; the replica has been read again since
+	failed                  // given up: the change may or may not have been made durable
 )
 
 // writer combines changes into transactions. One transaction is in flight at a time;
@@ -106,6 +106,8 @@
 	for _, w := range added {
 		s.insertWrite(w)
 	}
+	// The limiter never allows more than its burst at once, so a larger transaction
+	// counts as that many changes.
 	if len(next.writes) == 0 || !s.writeRate.AllowN(s.limiterTime(), min(next.ops, s.writeRate.Burst())) || !s.storeRate.AllowN(s.limiterTime(), 1) {
 		return
 	}
@@ -129,17 +131,19 @@
 type batch struct {
 	maxOps             int
 	writes             []*write
-	deferred           []*write // left for later transactions
-	ops, size          int
-	requiresLeadership bool // whether the writes are those of a leader's term
-	keys               map[string]bool
+	deferred           []*write        // left for later transactions
+	ops, size          int             // number of changes, and estimated bytes
+	requiresLeadership bool            // whether the writes are those of a leader's term
+	keys               map[string]bool // keys of the writes
 }
 
-// add adds w to the transaction, or defers it to a later one.
+// add adds w to the transaction, or defers it to a later one. A second write of the same
+// key is always deferred, since its precondition would fail.
 func (b *batch) add(w *write) {
 	ops := 1 + len(w.alsoRemove)
 	full := b.ops > 0 && (b.ops+ops > b.maxOps || b.size+len(w.change.Value) > maxTxnBytes)
-	// A user's change must not fail because a leader's term has ended.
+	// A user's change must not fail because a leader's term has ended, so it is not
+	// sent with changes that require leadership.
 	mixed := b.ops > 0 && b.requiresLeadership != (w.leaderTerm != 0)
 	if full || mixed || b.keys[w.change.Key] {
 		b.deferred = append(b.deferred, w)
@@ -153,7 +157,7 @@
 }
 
 // transact sends a transaction and handles its result. requiresLeadership adds the
-// precondition that this leader's term is still the last one.
+// precondition that this leader's term is still the last one that was won.
 func (s *State) transact(writes []*write, requiresLeadership bool) {
 	s.txnInFlight = true
 	call := StoreCall{Op: StoreTxn, Timeout: time.Second}
@@ -185,6 +189,7 @@
 				w.done(failed)
 			}
 		default:
+			// The writes are queued again, in front of the others of their class.
 			// With 503 and 429 the transaction was not executed. Without an answer
 			// it may have been executed, or may yet be. Retrying is safe because
 			// of the preconditions: the change is made at most once, and a retry
@@ -202,8 +207,9 @@
 	})
 }
 
-// failUserWrites fails the users' queued changes. The state service refuses this
-// controller for now, and users are told so at once.
+// failUserWrites fails the queued changes that any controller may write, mostly users'
+// changes. The state service refuses this controller for now, and users are
+// told so at once.
 func (s *State) failUserWrites() {
 	var remaining []*write
 	waiting := s.queue
@@ -220,9 +226,10 @@
 	}
 }
 
-// resolveConflict handles a transaction whose preconditions failed. The cause may be
-// this controller's own earlier attempt whose answer was lost, so the state is read
-// before the outcome of each write is decided.
+// resolveConflict handles a transaction of which some preconditions failed. The cause may
+// be this controller's own earlier attempt whose answer was lost, so the state is read
+// before the outcome of each write is decided. Writes whose own preconditions held are
+// queued again.
 func (s *State) resolveConflict(writes []*write, failedKeys []string) {
 	hasFailed := map[string]bool{}
 	for _, key := range failedKeys {
