--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -9,18 +9,19 @@
 )
 
 // The machine registry is the list of machines in the state service. Its keys are pages,
-// which hold many machines each.
+// which hold many machines each. The leader plans on which page a machine is to be
+// (machine.page); the page on which it is stored may still be another (storedPage).
 
 // registryState is the leader's view of the registry.
 type registryState struct {
-	pages           map[int]*registryPage
-	nextPageWriteAt time.Duration // when changed pages may be written next
+	pages           map[int]*registryPage // by page number, from 1
+	nextPageWriteAt time.Duration         // when changed pages may be written next
 	// nextUnresponsiveCheckAt is when machines are next checked for missing replies.
 	nextUnresponsiveCheckAt time.Duration
 }
 
 // machineRecord is a machine's entry in the registry. It is written before the machine
-// gets its first task, so that a successor knows which machines to query.
+// gets its first task, so that the next leader knows which machines to query.
 type machineRecord struct {
 	Endpoint    string `json:"endpoint"`
 	Type        string `json:"type"`
@@ -28,7 +29,8 @@
 	Spot        bool   `json:"spot,omitempty"`
 	Preexisting bool   `json:"standing,omitempty"`
 	// UnresponsiveSinceMs is the machine's unresponsive mark: the wall-clock time in ms
-	// since which no controller has replied to it, or 0. See markUnresponsiveMachines.
+	// since which no controller has answered a report of it, or 0 without a mark. See
+	// markUnresponsiveMachines.
 	UnresponsiveSinceMs int64 `json:"quiet,omitempty"`
 }
 
@@ -41,10 +43,10 @@
 // page, because with one key per machine the largest fleets would take minutes to write.
 type registryPage struct {
 	dirty, writing  bool // dirty: to be written; writing: a write is queued or in flight
-	bytes           int  // estimated size of its value
+	bytes           int  // upper bound on the size of its value
 	machinesAtStart int  // number of machines on it when the term began
-	// writtenAfter lists the pages that machines of this page are moved to. Those are
-	// written first, so that each machine is always on at least one stored page.
+	// writtenAfter lists the pages that machines of this page are moved to. These pages
+	// are written first, so that each machine is always on at least one stored page.
 	writtenAfter []int
 }
 
@@ -68,7 +70,7 @@
 		m.storedPage, m.registered, m.preexisting = pageNumber, true, record.Preexisting
 		m.storedUnresponsiveSince, m.readUnresponsiveSince = record.UnresponsiveSinceMs, record.UnresponsiveSinceMs
 		if !s.caughtUp || m.page == 0 {
-			m.page = pageNumber // a leader keeps its own choice, since it may be moving the machine
+			m.page = pageNumber // otherwise the leader's choice stays: it may be moving the machine
 		}
 		s.describeMachine(m, record.Endpoint, record.Type, record.Zone, record.Spot)
 	}
@@ -76,9 +78,10 @@
 	s.pageHosts[pageNumber] = listed
 }
 
-// removeUnlisted removes the machines from the registry that were on a page when it was
-// last read and are not on it now. It looks at the machines of that page only: scanning
-// the whole fleet for each page makes the cost of a full read grow with its square.
+// removeUnlisted records as unregistered the machines that were on a page when it was last
+// read and are not on it now. It looks at the machines of that page only: scanning the
+// whole fleet for each page would make the cost of a full read grow with the square of the
+// fleet's size.
 func (s *State) removeUnlisted(pageNumber int, hosts map[string]machineRecord) {
 	for _, host := range s.pageHosts[pageNumber] {
 		m := s.machines[host]
@@ -90,7 +93,7 @@
 }
 
 // applyMachineKey applies a machine's own key, as versions before the registry pages
-// wrote it. The key stays until the machine is unregistered.
+// wrote it. Such a key stays until the machine is unregistered.
 func (s *State) applyMachineKey(host string, item Item) {
 	if item.Removed {
 		if m := s.machines[host]; m != nil && m.hasOwnKey {
@@ -110,7 +113,8 @@
 	s.describeMachine(m, record.Endpoint, record.Type, record.Zone, record.Spot)
 }
 
-// markUnregistered records that m is no longer stored in the registry.
+// markUnregistered records that m is no longer stored in the registry. Controllers that
+// don't lead know machines from the registry only, so they drop m.
 func (s *State) markUnregistered(m *machine) {
 	m.registered, m.storedUnresponsiveSince, m.readUnresponsiveSince = false, 0, 0
 	if !s.IsLeader() {
@@ -118,7 +122,8 @@
 	}
 }
 
-// unregister removes a machine that no longer exists from the stored registry.
+// unregister removes from the stored registry a machine that no longer exists, and that
+// the caller has removed from the machine table.
 func (s *State) unregister(m *machine) {
 	if p := s.pages[m.page]; p != nil {
 		p.dirty = true
@@ -131,8 +136,8 @@
 	}
 }
 
-// maintainRegistry registers the machines that were reconciled in this term and writes
-// the pages that have changed.
+// maintainRegistry registers the machines that are reconciled (have shown an epoch of this
+// term) and writes the pages that have changed.
 func (s *State) maintainRegistry() {
 	if s.now < s.nextPageWriteAt {
 		return
@@ -172,7 +177,7 @@
 }
 
 // shrinkPage moves machines to other pages until the page is within the limit. A page
-// may exceed the limit if a previous version with other limits wrote it.
+// may exceed the limit if it was written by a previous version, which had another limit.
 func (s *State) shrinkPage(pageNumber int, page *registryPage) {
 	for i := len(s.machinesByName) - 1; i >= 0 && page.bytes > s.maxPageBytes(); i-- {
 		m := s.machinesByName[i]
@@ -192,7 +197,8 @@
 
 // maxPageBytes returns the maximum size of a page. It is a quarter of the largest
 // possible value, because each change rewrites a whole page. Where values are small, it
-// is more, so that a page holds several machines.
+// is 1536 bytes, or three quarters of the largest value if that is less, so that a page
+// holds several machines.
 func (s *State) maxPageBytes() int {
 	largestValue := min(s.cfg.MaxValueBytes, maxTxnBytes)
 	return max(largestValue/4, min(largestValue*3/4, 1536))
@@ -202,7 +208,7 @@
 func (s *State) page(pageNumber int) *registryPage {
 	p := s.pages[pageNumber]
 	if p == nil {
-		p = &registryPage{bytes: 2}
+		p = &registryPage{bytes: 2} // the size of an empty JSON object
 		s.pages[pageNumber] = p
 	}
 	return p
@@ -251,14 +257,14 @@
 }
 
 // markUnresponsiveMachines marks the machines in the registry that have had no reply for
-// a while, with the time of the last reply. Without the mark, a successor must wait for a
-// whole lease from its own election before it may start their tasks elsewhere. When a
-// zone is cut off and the leader fails, that doubles the time for which the zone's
+// a while, with the time of the last reply. Without the mark, the next leader must wait
+// for a whole lease from its own election before it may start their tasks elsewhere. When
+// a zone is cut off and the leader fails, that doubles the time for which the zone's
 // services are down. Once a mark may be stored, the machine gets no reply until the mark
 // has been removed.
 func (s *State) markUnresponsiveMachines() {
 	if s.cfg.MaxClockSkew <= 0 || s.now < s.nextUnresponsiveCheckAt {
-		return // without a bound on the clock skew, a successor could not use the marks
+		return // without a bound on the clock skew, the next leader could not use the marks
 	}
 	s.nextUnresponsiveCheckAt = s.now + max(s.cfg.ReportInterval/6, min(s.cfg.ReportInterval/2, time.Second))
 	timeout := s.reportTimeout(s.cfg.ReportInterval*3/2, s.cfg.ReportInterval*2)
@@ -271,8 +277,8 @@
 	}
 }
 
-// clearUnresponsiveMark reports whether a reply may be sent to m. If a mark may be
-// stored for m, it returns false, and the mark is removed first.
+// clearUnresponsiveMark reports whether a reply may be sent to m. It may not while a mark
+// may be stored for m, which this call has removed by the next write of the page.
 func (s *State) clearUnresponsiveMark(m *machine) bool {
 	if m.unresponsiveSince != 0 {
 		m.unresponsiveSince = 0
@@ -281,21 +287,22 @@
 	return m.storedUnresponsiveSince == 0
 }
 
-// wallTimeAt returns the wall-clock time at the monotonic time t, in ms, rounded up.
+// wallTimeAt returns the wall-clock time at the monotonic time t, in ms. It is rounded up,
+// so that it is never too early.
 func (s *State) wallTimeAt(t time.Duration) int64 {
 	return s.wallMs - int64((s.wallReadAt-t)/time.Millisecond) + 1
 }
 
 // latestPossibleReplyAt returns the latest time at which a former leader may have
-// replied to m. That is the election of this leader, or earlier if the former leader
-// has reported so or has marked m as unresponsive.
+// replied to m. That is the election of this leader, or earlier if the previous leader's
+// transfer message says so (transfer.go) or m has an unresponsive mark.
 func (s *State) latestPossibleReplyAt(m *machine) time.Duration {
 	latest := s.electedAt
 	if transferredAt, ok := s.transferredReplyAt(m); ok {
 		latest = min(latest, transferredAt)
 	}
 	if m.storedUnresponsiveSince != 0 && s.cfg.MaxClockSkew > 0 {
-		// The clocks of both leaders may be off by MaxClockSkew.
+		// The wall clocks of both leaders may be off by MaxClockSkew.
 		sinceReply := time.Duration(s.wallMs-m.storedUnresponsiveSince)*time.Millisecond + (s.now - s.wallReadAt) - 2*s.cfg.MaxClockSkew
 		latest = min(latest, s.now-sinceReply)
 	}
--- a/internal/core/version.go
+++ b/internal/core/version.go
@@ -16,7 +16,7 @@
 // Versions of messages and stored values.
 const (
 	versionFirst = iota // the version before versions were numbered
-	versionGangs        // adds gangs, and bitmaps of finished tasks in small parts
+	versionGangs        // adds gangs, and bitmaps of finished tasks that are stored in parts
 
 	// NewestVersion is the newest version that this program knows.
 	NewestVersion = versionGangs
@@ -31,7 +31,7 @@
 type versionState struct {
 	raisingVersion   bool          // the write of the cluster version is queued or in flight
 	ownVersionStored bool          // this incarnation's version is in the state service
-	storedOwnVersion int           // the version stored there, perhaps by a previous incarnation
+	storedOwnVersion int           // this controller's version as stored, perhaps by a previous incarnation
 	storeVersionAt   time.Duration // earliest time of the next attempt to store it
 }
 
@@ -50,8 +50,8 @@
 	Version int `json:"forms"`
 }
 
-// applyControllerVersion applies a controller's stored version. The latest information
-// counts, whether it is the stored version or a message from the controller.
+// applyControllerVersion applies a controller's stored version, or its removal. What
+// arrived last counts, whether it is the stored version or a message from the controller.
 func (s *State) applyControllerVersion(controller string, item Item) {
 	var value controllerVersionValue
 	if !item.Removed && json.Unmarshal(item.Value, &value) != nil {
@@ -70,10 +70,10 @@
 	}
 }
 
-// storeOwnVersion stores, once after a start, which version this controller knows. A
-// leader that is elected later then does not depend on a message from it. Without the
-// stored version, gangs are refused for as long as the leader cannot reach a controller
-// that has already been upgraded.
+// storeOwnVersion stores, once after a start, which version this controller knows, unless
+// the cluster version is as high. A leader that is elected later then does not depend on a
+// message from this controller. Without the stored version, gangs are refused for as long
+// as the leader cannot reach a controller that has already been upgraded.
 func (s *State) storeOwnVersion() {
 	if s.cfg.Version == versionFirst || s.clusterVersion >= s.cfg.Version || s.ownVersionStored {
 		return
@@ -96,9 +96,10 @@
 }
 
 // handlePeerVersion applies the version that a controller says it knows. If the
-// controller was rolled back, the leader removes its stored version, which no longer
-// holds. A late message from its previous incarnation may cause that wrongly, but costs
-// no more than the stored version.
+// controller was rolled back, so that its stored version no longer holds, the leader
+// removes the stored version. A late message from the controller's previous incarnation
+// may wrongly cause the removal, which has no other effect than that later leaders
+// must wait for a message.
 func (s *State) handlePeerVersion(controller string, version int) {
 	peer := s.peers[controller]
 	peer.version = version
@@ -113,9 +114,9 @@
 	})
 }
 
-// raiseClusterVersion raises the cluster version once every controller knows the newest
-// version. In the first term it does so at once, because no other controller can have
-// written anything yet.
+// raiseClusterVersion raises the cluster version to this controller's version once every
+// controller knows that version. In the first term it does so at once, because no other
+// controller can have written anything yet.
 func (s *State) raiseClusterVersion() {
 	if s.clusterVersion >= s.cfg.Version || s.raisingVersion || !s.IsLeader() {
 		return
@@ -134,10 +135,10 @@
 }
 
 // knowsNewestVersion reports whether a peer certainly knows this controller's version.
-// Either it has said so recently, or its last message or stored version says so and two
-// promise durations have passed since the election. A reachable controller sends a
-// message well within that time, so one that was rolled back after it stored its version
-// is noticed.
+// Either the peer has said so recently, or its last message or stored version says so and
+// two promise durations have passed since the election. A reachable peer sends a message
+// well within that time, so if it was rolled back after it stored its version, that is
+// noticed.
 func (s *State) knowsNewestVersion(peer *peerState) bool {
 	if peer.version < s.cfg.Version {
 		return false
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -79,7 +79,7 @@
 			}
 		}
 		if read < kinds {
-			t.Errorf("%s: got %d kinds of messages, want at least %d", file, read, kinds)
+			t.Errorf("%s: got %d messages, want at least %d", file, read, kinds)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 			var got, want map[string]any
 			previousEncoded, _ := hex.DecodeString(sample.bytes)
 			if msgpack.Unmarshal(encoded, &got) != nil || msgpack.Unmarshal(previousEncoded, &want) != nil {
-				t.Fatalf("%s: %s: message is not encoded as a map", file, sample.name)
+				t.Fatalf("%s: %s: got a message that does not decode as a map, want one that does", file, sample.name)
 			}
 			if file == production {
 				delete(got, "fm")
@@ -242,11 +242,11 @@
 		known, kept   bool          // the newest version is known; the stored version is kept
 	}{
 		{"a recent message with the newest version", 0, versionGangs, time.Second, time.Second, true, true},
-		{"an old message with the newest version, and it is unreachable", 0, versionGangs, time.Minute, time.Minute, true, true},
+		{"an old message with the newest version, and the controller is unreachable", 0, versionGangs, time.Minute, time.Minute, true, true},
 		{"neither a message nor a stored version", 0, -1, 0, time.Minute, false, true},
-		{"only its stored version, and a message may still come", versionGangs, -1, 0, time.Second, false, true},
-		{"only its stored version, and it is unreachable", versionGangs, -1, 0, time.Minute, true, true},
-		{"it was rolled back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
+		{"only the stored version, and a message may still come", versionGangs, -1, 0, time.Second, false, true},
+		{"only the stored version, and the controller is unreachable", versionGangs, -1, 0, time.Minute, true, true},
+		{"the controller was rolled back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSingleController()
