--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -97,7 +97,7 @@
 		incarnation = 0
 	}
 	if s.caughtUp {
-		s.transferLeadership(term)
+		s.sendTransferMessage(term)
 	}
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgRelease, Term: term, Ask: incarnation}})
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -11,7 +11,7 @@
 // promises have expired, and a crash of all controllers costs the workers a part of their
 // lease.
 func (s *State) announceRestart() {
-	if s.voter.CanPromise(s.now) || s.now < s.announceRestartAt {
+	if s.voter.IsStartupWaitOver(s.now) || s.now < s.announceRestartAt {
 		return
 	}
 	s.announceRestartAt = s.now + s.electionConfig.PromiseDuration/8
@@ -31,7 +31,7 @@
 			return
 		}
 	}
-	if !s.voter.CanPromise(s.now) {
+	if !s.voter.IsStartupWaitOver(s.now) {
 		s.log(slog.LevelInfo, "startup wait over: no peer relies on an earlier promise")
 		s.voter.EndStartupWait()
 	}
@@ -45,7 +45,7 @@
 // the winner of the last term is this controller's own previous incarnation or has said
 // that it relies on no earlier promise.
 func (s *State) preapprove(candidate string, term, termModRevision uint64) {
-	if s.voter.CanPromise(s.now) || !s.loaded || termModRevision != s.termModRevision {
+	if s.voter.IsStartupWaitOver(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
 	}
 	if holder := s.peers[s.termWinner]; s.termModRevision == 0 || s.termWinner == s.cfg.Self || holder != nil && holder.releasedOurPromises {
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -16,9 +16,9 @@
 	sinceReplyMs map[string]int // by machine: milliseconds from the last reply to it until the message
 }
 
-// transferLeadership sends the peers this message. The caller has ended this controller's
+// sendTransferMessage sends the peers this message. The caller has ended this controller's
 // leadership of term for good.
-func (s *State) transferLeadership(term uint64) {
+func (s *State) sendTransferMessage(term uint64) {
 	sinceReplyMs := map[string]int{}
 	for _, m := range s.machinesByName {
 		if sinceReply := s.now - m.lastReplyAt; m.registered && sinceReply > s.cfg.ReportInterval {
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -54,7 +54,7 @@
 // decoded with the meaning that they had there. During a rolling upgrade, controllers
 // otherwise misread each other.
 func TestReadsPreviousVersionMessages(t *testing.T) {
-	for file, kinds := range map[string]int{production: 16, firstGangs: 15} {
+	for file, minMessages := range map[string]int{production: 16, firstGangs: 15} {
 		read := 0
 		for _, sample := range readSamples(t, file) {
 			if sample.kind != "message" {
@@ -78,8 +78,8 @@
 				t.Errorf("%s: %s: got\n%+v, want\n%+v", file, sample.name, got, want)
 			}
 		}
-		if read < kinds {
-			t.Errorf("%s: got %d messages, want at least %d", file, read, kinds)
+		if read < minMessages {
+			t.Errorf("%s: got %d messages, want at least %d", file, read, minMessages)
 		}
 	}
 }
@@ -145,16 +145,16 @@
 	}
 	for _, key := range []string{"mf/j/req-300001", "mf/forms", "mf/r/1", "mf/leader", "mf/term"} {
 		var decoded any
-		switch prefix, fields := key, stored[key]; {
-		case strings.HasPrefix(prefix, prefixJobs):
+		switch name, fields := key, stored[key]; {
+		case strings.HasPrefix(name, prefixJobs):
 			decoded = readAs[jobValue](t, fields)
-		case strings.HasPrefix(prefix, prefixPages):
+		case strings.HasPrefix(name, prefixPages):
 			decoded = readAs[map[string]machineRecord](t, fields)
-		case prefix == keyClusterVersion:
+		case name == keyClusterVersion:
 			decoded = readAs[clusterVersionValue](t, fields)
-		case prefix == keyLeader:
+		case name == keyLeader:
 			decoded = readAs[leaderValue](t, fields)
-		case prefix == keyTerm:
+		case name == keyTerm:
 			decoded = readAs[termValue](t, fields)
 		}
 		if got := string(mustMarshal(decoded)); got != stored[key] {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -154,8 +154,8 @@
 	return v.promisedTo, now < v.promisedUntil
 }
 
-// CanPromise reports whether the startup wait is over at now.
-func (v *Voter) CanPromise(now time.Duration) bool { return now >= v.startupWaitUntil }
+// IsStartupWaitOver reports whether the startup wait is over at now.
+func (v *Voter) IsStartupWaitOver(now time.Duration) bool { return now >= v.startupWaitUntil }
 
 // HighestTerm returns the highest term that this voter has supported since its start.
 func (v *Voter) HighestTerm() uint64 { return v.highestTerm }
