--- a/internal/core/externalcalls.go
+++ b/internal/core/externalcalls.go
@@ -25,7 +25,7 @@
 	Op      CloudOp
 	Request string   // rent: name of the rental request, never used twice
 	Type    string   // rent: machine type
-	Zone    string   // rent
+	Zone    string   // rent: zone of the machines
 	Spot    bool     // rent: spot machines, which the cloud may reclaim
 	Count   int      // rent: number of machines
 	Hosts   []string // return: machines to return
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -137,7 +137,7 @@
 }
 
 // maintainRegistry registers the machines that are reconciled (have shown an epoch of this
-// term) and writes the pages that have changed.
+// term) and whose type is known, and writes the pages that have changed.
 func (s *State) maintainRegistry() {
 	if s.now < s.nextPageWriteAt {
 		return
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -94,8 +94,8 @@
 	return s.loaded && s.sinceStoreContact() < s.storeContactTimeout()
 }
 
-// load reads all keys, page by page, at the start and whenever a watch cannot bring the
-// missing changes.
+// load reads all keys, page by page. That is needed after a start and whenever the replica
+// may lack changes that no watch can bring.
 func (s *State) load() {
 	s.loading = true
 	var firstRevision uint64
@@ -207,7 +207,8 @@
 
 // sendLinearizableRead sends one request for all pending reads, if none is in flight. The
 // request is a watch that does not block, which returns the changes that the replica
-// lacks. Without contact with the state service, it fails the pending reads instead.
+// lacks. While the replica is not loaded or the state service does not answer, the pending
+// reads fail instead.
 func (s *State) sendLinearizableRead() {
 	if len(s.pendingReads) == 0 || s.readInFlight || s.now < s.nextReadAt {
 		return
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -3,8 +3,8 @@
 import "log/slog"
 
 // A controller that has just started has forgotten the promises that its previous
-// incarnation gave. Its voter gives no promise during a startup wait, unless other
-// controllers show that no forgotten promise counts (see package election).
+// incarnation gave. Its voter therefore gives no promise during a startup wait, which the
+// functions below shorten or make exceptions to (see package election).
 
 // announceRestart asks the peers, during the startup wait, to release this controller from
 // promises of its previous incarnation. Without that, the startup wait lasts until these
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -208,8 +208,8 @@
 }
 
 // failUserWrites fails the queued changes that any controller may write, mostly users'
-// changes. The state service refuses this controller for now, and users are
-// told so at once.
+// changes. The state service refuses this controller for now, and users are told so at
+// once.
 func (s *State) failUserWrites() {
 	var remaining []*write
 	waiting := s.queue
