--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// clearUnresponsiveMark reports whether a reply may be sent to m. It may not while a mark
-// may be stored for m, which this call has removed by the next write of the page.
+// clearUnresponsiveMark reports whether a reply may be sent to m. While a mark may be
+// stored for m, it returns false and lets the next write of the page remove the mark.
 func (s *State) clearUnresponsiveMark(m *machine) bool {
 	if m.unresponsiveSince != 0 {
 		m.unresponsiveSince = 0
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -30,7 +30,7 @@
 type Config struct {
 	Self        string
 	Peers       []string
-	Incarnation uint64 // differs between the processes of this controller, before and after a restart; seeds the random source
+	Incarnation uint64 // differs for each process of this controller, so after each restart; seeds the random source
 	Teams       map[string]Team
 	Goals       map[string]Goal // by class
 
