--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -3,13 +3,15 @@
 import "log/slog"
 
 // A controller that has just started has forgotten the promises that its previous
-// incarnation gave.
+// incarnation gave. Its voter therefore gives no promise during a startup wait, which the
+// functions below shorten or make exceptions to (see package election).
 
-// announceRestart asks the peers, after a start, to release this controller from
-// promises of its previous incarnation. If it waited until these have expired, a crash
-// of all controllers would cost the workers a part of their lease.
+// announceRestart asks the peers, during the startup wait, to release this controller from
+// promises of its previous incarnation. Without that, the startup wait lasts until these
+// promises have expired, and a crash of all controllers costs the workers a part of their
+// lease.
 func (s *State) announceRestart() {
-	if s.voter.CanPromise(s.now) || s.now < s.announceRestartAt {
+	if s.voter.IsStartupWaitOver(s.now) || s.now < s.announceRestartAt {
 		return
 	}
 	s.announceRestartAt = s.now + s.electionConfig.PromiseDuration/8
@@ -29,7 +31,7 @@
 			return
 		}
 	}
-	if !s.voter.CanPromise(s.now) {
+	if !s.voter.IsStartupWaitOver(s.now) {
 		s.log(slog.LevelInfo, "startup wait over: no peer relies on an earlier promise")
 		s.voter.EndStartupWait()
 	}
@@ -38,11 +40,12 @@
 // preapprove lets this controller support a candidate during its startup wait. Without
 // that, the workers lose a fifth of their lease after a crash while another controller
 // is unreachable and cannot release the earlier promises. The conditions are explained
-// in the package election: this process has read the modification revision of the term
-// key since its start, and the holder of that term is this controller's own previous
-// incarnation or has said that it relies on no earlier promise.
+// in the package election: this process has read, since its start, the modification
+// revision of the term key that the candidate names; and either no term was won yet, or
+// the winner of the last term is this controller's own previous incarnation or has said
+// that it relies on no earlier promise.
 func (s *State) preapprove(candidate string, term, termModRevision uint64) {
-	if s.voter.CanPromise(s.now) || !s.loaded || termModRevision != s.termModRevision {
+	if s.voter.IsStartupWaitOver(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
 	}
 	if holder := s.peers[s.termWinner]; s.termModRevision == 0 || s.termWinner == s.cfg.Self || holder != nil && holder.releasedOurPromises {
@@ -51,9 +54,9 @@
 }
 
 // releasePreviousIncarnation ends what is left of a leadership that this controller had
-// before it restarted: the leader key and the promises to it. No process acts on them
-// any more. If the other controllers waited until they expire, the workers would lose
-// their leases.
+// before it restarted: the leader key, and the promises that support that leader. No
+// process acts on them any more. If the other controllers waited until key and promises
+// expire, the workers would lose their leases.
 func (s *State) releasePreviousIncarnation() {
 	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -54,7 +54,7 @@
 // decoded with the meaning that they had there. During a rolling upgrade, controllers
 // otherwise misread each other.
 func TestReadsPreviousVersionMessages(t *testing.T) {
-	for file, kinds := range map[string]int{production: 16, firstGangs: 15} {
+	for file, minMessages := range map[string]int{production: 16, firstGangs: 15} {
 		read := 0
 		for _, sample := range readSamples(t, file) {
 			if sample.kind != "message" {
@@ -78,8 +78,8 @@
 				t.Errorf("%s: %s: got\n%+v, want\n%+v", file, sample.name, got, want)
 			}
 		}
-		if read < kinds {
-			t.Errorf("%s: got %d kinds of messages, want at least %d", file, read, kinds)
+		if read < minMessages {
+			t.Errorf("%s: got %d messages, want at least %d", file, read, minMessages)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 			var got, want map[string]any
 			previousEncoded, _ := hex.DecodeString(sample.bytes)
 			if msgpack.Unmarshal(encoded, &got) != nil || msgpack.Unmarshal(previousEncoded, &want) != nil {
-				t.Fatalf("%s: %s: message is not encoded as a map", file, sample.name)
+				t.Fatalf("%s: %s: got a message that does not decode as a map, want one that does", file, sample.name)
 			}
 			if file == production {
 				delete(got, "fm")
@@ -145,16 +145,16 @@
 	}
 	for _, key := range []string{"mf/j/req-300001", "mf/forms", "mf/r/1", "mf/leader", "mf/term"} {
 		var decoded any
-		switch prefix, fields := key, stored[key]; {
-		case strings.HasPrefix(prefix, prefixJobs):
+		switch name, fields := key, stored[key]; {
+		case strings.HasPrefix(name, prefixJobs):
 			decoded = readAs[jobValue](t, fields)
-		case strings.HasPrefix(prefix, prefixPages):
+		case strings.HasPrefix(name, prefixPages):
 			decoded = readAs[map[string]machineRecord](t, fields)
-		case prefix == keyClusterVersion:
+		case name == keyClusterVersion:
 			decoded = readAs[clusterVersionValue](t, fields)
-		case prefix == keyLeader:
+		case name == keyLeader:
 			decoded = readAs[leaderValue](t, fields)
-		case prefix == keyTerm:
+		case name == keyTerm:
 			decoded = readAs[termValue](t, fields)
 		}
 		if got := string(mustMarshal(decoded)); got != stored[key] {
@@ -242,11 +242,11 @@
 		known, kept   bool          // the newest version is known; the stored version is kept
 	}{
 		{"a recent message with the newest version", 0, versionGangs, time.Second, time.Second, true, true},
-		{"an old message with the newest version, and it is unreachable", 0, versionGangs, time.Minute, time.Minute, true, true},
+		{"an old message with the newest version, and the controller is unreachable", 0, versionGangs, time.Minute, time.Minute, true, true},
 		{"neither a message nor a stored version", 0, -1, 0, time.Minute, false, true},
-		{"only its stored version, and a message may still come", versionGangs, -1, 0, time.Second, false, true},
-		{"only its stored version, and it is unreachable", versionGangs, -1, 0, time.Minute, true, true},
-		{"it was rolled back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
+		{"only the stored version, and a message may still come", versionGangs, -1, 0, time.Second, false, true},
+		{"only the stored version, and the controller is unreachable", versionGangs, -1, 0, time.Minute, true, true},
+		{"the controller was rolled back", versionGangs, versionFirst, time.Second, time.Minute, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSingleController()
