--- a/internal/sim/cancellation_visibility_test.go
+++ b/internal/sim/cancellation_visibility_test.go
@@ -7,15 +7,15 @@
 )
 
 // cancelVisibilityFaults are ways in which a leader can miss a cancellation that was
-// confirmed to a user. In each case the state service refuses only the leader, other
-// controllers confirm cancellations, and then the state service is out for all
-// controllers. Each case adds a fault of its own as the state service begins to refuse
-// the leader.
+// confirmed to a user. In each case the state service refuses the leader at 40 s, the
+// followers confirm cancellations, and 800 ms later the state service is out for all
+// controllers. All cases but the first add faults of their own.
 var cancelVisibilityFaults = []struct {
 	name string
-	// inject is called as the state service begins to refuse the leader. The
-	// confirmer and the third controller are the two followers; users cancel jobs
-	// through both.
+	// inject is called as the state service begins to refuse the leader. confirmer and
+	// third are the two followers; users cancel jobs through both. Where a fault leaves
+	// only one follower able to confirm cancellations, or cuts off one that confirms
+	// them, that one is confirmer.
 	inject func(sim *Simulation, leader, confirmer, third *Controller)
 }{
 	{"no further fault", func(sim *Simulation, leader, confirmer, third *Controller) {}},
@@ -30,22 +30,22 @@
 	{"messages of the leader to the confirmer are lost", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.link(leader.Name, confirmer.Name).mode = "drop"
 	}},
-	{"only the confirmer reaches the state service, and it is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and the confirmer is cut off from the other controllers", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Store.UnavailableTo[third.Name] = true
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.Cut(third.Name, confirmer.Name, "drop")
 		sim.After(12*second, func() { delete(sim.Store.UnavailableTo, third.Name) })
 	}},
-	{"only the confirmer reaches the state service, and it crashes and restarts at once", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and the confirmer crashes and restarts at once", func(sim *Simulation, leader, confirmer, third *Controller) {
 		isolateAndCrashConfirmer(sim, leader, confirmer, third, 300*time.Millisecond)
 	}},
-	{"only the confirmer reaches the state service, and it crashes and restarts after 8 s", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"only the confirmer reaches the state service, and the confirmer crashes and restarts after 8 s", func(sim *Simulation, leader, confirmer, third *Controller) {
 		isolateAndCrashConfirmer(sim, leader, confirmer, third, 8*second)
 	}},
 	{"the leader crashes and restarts at once", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.After(2500*time.Millisecond, func() { leader.CrashFor(300 * time.Millisecond) })
 	}},
-	{"some machines pause, and controllers can't reach others", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"some machines pause, and controllers can't reach some other machines", func(sim *Simulation, leader, confirmer, third *Controller) {
 		for i, endpoint := range sortedKeys(sim.Workers) {
 			worker := sim.Workers[endpoint]
 			switch i % 4 {
@@ -63,7 +63,7 @@
 		sim.Cut(leader.Name, third.Name, "drop")
 		sim.After(2*second, func() { sim.Heal("state", confirmer.Name); sim.Heal(leader.Name, confirmer.Name) })
 	}},
-	{"the first messages to the leader are lost, and it gets a read lease", func(sim *Simulation, leader, confirmer, third *Controller) {
+	{"the first messages to the leader are lost, and the leader gets a read lease", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Users.StopsPollingAtEnd = true // with each further poll the followers would notify the leader again
 		sim.link(confirmer.Name, leader.Name).mode = "drop"
 		sim.link(third.Name, leader.Name).mode = "drop"
@@ -88,7 +88,7 @@
 	{"the state service recovers for 500 ms while the leader is cut off from the confirmer", func(sim *Simulation, leader, confirmer, third *Controller) {
 		sim.Cut(leader.Name, confirmer.Name, "drop")
 		sim.After(20*second, func() {
-			sim.Store.Recover() // by now it no longer refuses the leader
+			sim.Store.Recover() // also for the leader, which the state service has not refused since 52 s
 			sim.After(500*time.Millisecond, func() { sim.Store.Unavailable = true })
 		})
 	}},
@@ -111,11 +111,11 @@
 }
 
 // TestCancellationVisibilityGap checks that the tasks of a cancelled job are gone
-// within cancel_s of the confirmation to the user, however long the state service is
-// out afterwards. A leader that can't learn of all confirmed cancellations must stop
-// acting. A leader once acted for the whole outage by the promise of the third
-// controller, while the cancellations that the second one had confirmed never reached
-// it.
+// within cancel_s (Config.CancelWithin) of the confirmation to the user, however long the
+// state service is out afterwards. A leader that can't learn of all confirmed
+// cancellations must stop acting. In an earlier version, the promises (votes) of one
+// follower let a leader act for the whole outage, while the cancellations that the other
+// follower had confirmed never reached the leader.
 func TestCancellationVisibilityGap(t *testing.T) {
 	for _, fault := range cancelVisibilityFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -134,11 +134,13 @@
 				sim.RunUntil(40 * second)
 				leader := sim.Leader()
 				if leader == nil {
-					t.Fatal("got no leader at 40 s")
+					t.Fatal("got no leader at 40 s, want one")
 				}
 				confirmer, third := sim.Controllers[(leader.index+1)%3], sim.Controllers[(leader.index+2)%3]
 				sim.Store.UnavailableTo[leader.Name] = true
 				fault.inject(sim, leader, confirmer, third)
+				// Users cancel each job through one follower. If that one has not confirmed
+				// the cancellation within 200 ms, they also cancel it through the other.
 				for i, id := range ids[:9] {
 					sim.At(sim.Now+time.Duration(250+60*i)*time.Millisecond, func() { sim.Users.CancelVia(id, []*Controller{third, confirmer}[i%2]) })
 					sim.At(sim.Now+time.Duration(50+60*i)*time.Millisecond, func() { sim.Users.CancelVia(id, []*Controller{confirmer, third}[i%2]) })
@@ -164,23 +166,27 @@
 				}
 			}
 			if confirmed < 9 {
-				t.Errorf("got %d cancellations confirmed before 42 s, with all seeds, want at least 9", confirmed)
+				t.Errorf("got %d cancellations confirmed before 42 s, summed over all seeds, want at least 9", confirmed)
 			}
 		})
 	}
 }
 
-// TestStoreOutageKeepsTasks checks that an outage of the state service ends no task,
-// however long it is, while all other controllers grant read leases to the leader. One
-// of them may crash and restart while its read lease still runs, or be out of the
-// leader's reach for less time than the last read lease and the allowed age of the
-// leader's view cover. If the leader can't reach a controller from before the outage on,
-// no controller may act for long, because that one might have confirmed cancellations.
+// TestStoreOutageKeepsTasks checks that all tasks keep running through an outage of the
+// state service while all other controllers grant the leader read leases. Until its read
+// lease ends, a controller confirms no cancellation that the leader has not acknowledged,
+// so the leader may act without reading the state service. A controller may crash and
+// restart while its read lease runs. The leader may also be cut off from a controller,
+// for less time than that controller's last read lease (30 s) plus the allowed age of the
+// leader's view of the cancellations (almost 19 s). But if the leader has been cut off
+// from a controller since before the outage, that controller has granted no read lease
+// and may have confirmed cancellations. Then the leader must soon stop acting, and the
+// tasks end with the leases of their machines.
 func TestStoreOutageKeepsTasks(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(sim *Simulation, leader, other *Controller)
-		kept   bool
+		kept   bool // whether all tasks must still run 61 s after the start of the outage
 	}{
 		{"all controllers are up", func(sim *Simulation, leader, other *Controller) {}, true},
 		{"one controller crashes and restarts at once", func(sim *Simulation, leader, other *Controller) { other.CrashFor(300 * time.Millisecond) }, true},
@@ -198,7 +204,7 @@
 		sim.RunUntil(40 * second)
 		leader := sim.Leader()
 		other := sim.Controllers[(leader.index+1)%3]
-		if !tc.kept {
+		if !tc.kept { // the last case, whose fault must begin before the outage
 			sim.Cut(leader.Name, other.Name, "drop")
 		}
 		sim.RunUntil(41 * second)
@@ -208,7 +214,7 @@
 		sim.RunUntil(102 * second)
 		kept := len(sim.Checker.jobs[job.ID].runningOn) == job.Tasks
 		if kept != tc.kept {
-			t.Errorf("%s: got all tasks still running: %v, want %v", tc.name, kept, tc.kept)
+			t.Errorf("%s: got all tasks still running 61 s after the start of the outage: %v, want %v", tc.name, kept, tc.kept)
 		}
 		sim.Store.Recover()
 		sim.Heal(leader.Name, other.Name)
--- a/internal/sim/fault_scenarios_test.go
+++ b/internal/sim/fault_scenarios_test.go
@@ -14,9 +14,9 @@
 
 const second = time.Second
 
-// submitMixedLoad submits a mix of services, batch jobs and long low-priority jobs until the given
-// time. About a quarter of them are cancelled. It also polls jobs that were never
-// submitted.
+// submitMixedLoad submits a mix of services, batch jobs and longer low-priority batch
+// jobs until the given time. About a quarter of them are cancelled. It also polls jobs
+// that were never submitted.
 func submitMixedLoad(sim *Simulation, until time.Duration) {
 	rnd := rand.New(rand.NewPCG(sim.Options.Seed, 99))
 	jobCount := 0
@@ -54,7 +54,8 @@
 	}
 }
 
-// watchLeaders checks every 10 ms that there is at most one leader.
+// watchLeaders calls Leader every 10 ms, which reports a violation if there are two
+// leaders.
 func watchLeaders(sim *Simulation) {
 	var sample func()
 	sample = func() {
@@ -64,7 +65,8 @@
 	sample()
 }
 
-// faultScenarios are the faults that operators have seen, alone and together.
+// faultScenarios inject faults that operators have seen, one kind of fault or several
+// kinds together.
 var faultScenarios = []struct {
 	name   string
 	inject func(sim *Simulation)
@@ -142,7 +144,7 @@
 		sim.At(40*second, func() {
 			leader := sim.Leader()
 			cutEndpoints := map[string]bool{}
-			for i := 1; i <= 60; i++ { // machines that start later are cut off too
+			for i := 1; i <= 60; i++ { // by the endpoints that Cloud gives out, so that machines that start later are cut off too
 				endpoint := fmt.Sprintf("wn-%06d", i)
 				sim.Cut(leader.Name, endpoint, "hold")
 				cutEndpoints[endpoint] = true
@@ -152,6 +154,8 @@
 					leader.Crash()
 				}
 			})
+			// The cut-off leader has stepped down because no worker reached it. If it were
+			// elected again, the machines would lose their leases, so the others go first.
 			sim.At(74*second, func() {
 				if sim.Leader() == leader {
 					sim.Checker.reportViolation("cut_leader", "%s leads again while it is still cut off from the workers", leader.Name)
@@ -281,7 +285,7 @@
 		for i, at := range []time.Duration{40, 75, 110} {
 			sim.At(at*second, func() {
 				controller := sim.Controllers[i%len(sim.Controllers)]
-				if leader := sim.Leader(); i != 1 && leader != nil {
+				if leader := sim.Leader(); i != 1 && leader != nil { // the second cut is of the second controller, whether it leads or not
 					controller = leader
 				}
 				cutFromStoreAndPeers(sim, controller, 20*second)
@@ -430,8 +434,8 @@
 	sim.After(duration, func() { worker.CannotReceive, worker.ReportAnswersLost = false, false })
 }
 
-// cutFromStoreAndPeers cuts a controller off from the state service and the other controllers for
-// the given duration, but not from workers, users and the cloud.
+// cutFromStoreAndPeers cuts a controller off from the state service and the other
+// controllers for the given duration, but not from workers, users and the cloud.
 func cutFromStoreAndPeers(sim *Simulation, controller *Controller, duration time.Duration) {
 	hosts := []string{"state"}
 	for _, other := range sim.Controllers {
@@ -483,20 +487,30 @@
 	})
 }
 
-// regressionSeeds are seeds with which a scenario once violated a rule.
+// regressionSeeds are seeds with which a scenario violated a rule in an earlier version.
+// An unresponsive mark is an entry in the machine registry that says since when a machine
+// has had no reply. The leader replies to a marked machine only after removing the mark.
 var regressionSeeds = map[string][]uint64{
-	"replies to reports are lost repeatedly, then the machine is cut off":                  {29, 60}, // the lease of a new session was counted from the old session
-	"mixed short restarts, isolated controllers, unreachable machines, outages and pauses": {46, 63}, // a machine with an unresponsive mark was given tasks; a reply was held by the network
-	"requests are carried out a second time":                                               {7, 24},  // a repeated command started a task that the worker had forgotten
+	// The leader counted the lease of a worker's new session from its last reply to the
+	// old session.
+	"replies to reports are lost repeatedly, then the machine is cut off": {29, 60},
+	// Seed 46: a machine was given tasks while it was marked as unresponsive. Seed 63: the
+	// leader held a reply until the mark was removed. The reply then renewed the machine's
+	// lease, which the leader still counted from an earlier reply.
+	"mixed short restarts, isolated controllers, unreachable machines, outages and pauses": {46, 63},
+	// A repeated command started a task again that the worker had forgotten.
+	"requests are carried out a second time": {7, 24},
 }
 
-// seedCount is the number of seeds for each scenario. More seeds than the default
-// are meant for searches by hand.
+// seedCount is the number of seeds for each fault scenario; other tests derive their
+// numbers of seeds from it. More seeds than the default are meant for searches by hand.
 var seedCount = flag.Int("seeds", 4, "number of seeds that each scenario runs with")
 
 // TestFaultScenarios runs the mixed load through each fault scenario. It checks that no
-// rule is violated, that every accepted job stays known, that no class or team starves,
-// and that all batch jobs are done at the end.
+// rule of the protocol is violated. At 250 s, after the load and the faults, each
+// controller gets 75 s to answer a poll of every accepted job, after which all replicas of
+// services must run. At the end, at least half of the jobs of each class and team must
+// have started (see CheckServed), and all batch jobs must be done, except cancelled ones.
 func TestFaultScenarios(t *testing.T) {
 	for _, scenario := range faultScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -521,9 +535,9 @@
 				}
 				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted < 10 || done < accepted {
-					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want at least 10 jobs and all of them done", seed, done, accepted)
+					t.Errorf("seed %d: got %d of %d accepted batch jobs done at the end, want at least 10 jobs and all of them done", seed, done, accepted)
 				}
-				t.Logf("seed %d: %d starts, %d of %d jobs done", seed, sim.Checker.TaskStarts, done, accepted)
+				t.Logf("seed %d: %d starts, %d of %d batch jobs done", seed, sim.Checker.TaskStarts, done, accepted)
 			}
 		})
 	}
--- a/internal/sim/random_scenarios_test.go
+++ b/internal/sim/random_scenarios_test.go
@@ -10,7 +10,8 @@
 )
 
 // firstRandomSeed and randomScenarioCount choose the seeds of the scenarios with
-// random faults. Searches run thousands of them.
+// random faults. To search for faults of the service, set them on the command line and
+// run thousands of scenarios.
 var (
 	firstRandomSeed     = flag.Int("random-from", 1, "first seed of the random scenarios that run besides the regression seeds")
 	randomScenarioCount = flag.Int("random-days", 9, "number of random scenarios that run besides the regression seeds")
@@ -46,7 +47,7 @@
 	})
 }
 
-// crashLeaders crashes n leaders one after the other, 3 to 13 s apart.
+// crashLeaders crashes the leader n times, 3 to 13 s apart.
 func (scenario *randomScenario) crashLeaders(from time.Duration, n int) {
 	for range n {
 		restartDelay := scenario.durationBetween(0.2, 3)
@@ -136,10 +137,11 @@
 	}},
 }
 
-// newRandomScenario draws a scenario from a seed. Jobs are cancelled at 60 s, about
-// half of the time while their machines pause, and again 2 to 20 s later. Three
-// faults start between 50 and 85 s. With every third seed, in addition, the leader
-// crashes ten times in about two minutes while half of the commands arrive late.
+// newRandomScenario draws a scenario from a seed. Ten jobs are cancelled at 60 s, and six
+// other jobs 2 to 20 s later. With about half of the seeds, the machines of the first ten
+// pause as they are cancelled. Three faults start between 50 and 85 s. With every third
+// seed, in addition, the leader crashes ten times from about 60 s on, 3 to 13 s apart, and
+// half of the direct commands arrive late for two minutes.
 func newRandomScenario(seed uint64) *randomScenario {
 	scenario := &randomScenario{largeFleet: newLargeFleet(largestDeploymentOptions(seed), 20)}
 	scenario.Users.ProbesAllControllers = true
@@ -169,17 +171,20 @@
 	return scenario
 }
 
-// randomRegressionSeeds are seeds with which a rule was once violated, each with the
-// rule and the cause.
+// randomRegressionSeeds are seeds with which a rule was violated in an earlier version,
+// each with the rule and the cause. ran_cancelled: a task of a cancelled job ran for
+// longer than cancel_s after the confirmation to the user. ran_twice: a task ran on two
+// machines at once. An unresponsive mark is an entry in the machine registry that says
+// since when a machine has had no reply; a new leader counts the machine's lease from it.
 var randomRegressionSeeds = map[uint64]string{
-	2031: "ran_cancelled: replies without the stop order renewed leases",
-	2613: "ran_cancelled: replies without the stop order renewed leases, with slow controllers and late writes",
+	2031: "ran_cancelled: replies to reports renewed leases without the order to stop the cancelled tasks",
+	2613: "ran_cancelled: as with 2031, with slow controllers and late writes",
 	2638: "ran_twice: a re-elected leader relied on an unresponsive mark that it had never written",
 }
 
 // TestRandomFaults injects random faults while jobs are cancelled, with the settings of
 // the largest deployments. It logs the least time that was left of cancel_s when a task of
-// a cancelled job was gone, which shows how close the scenario came to violating
+// a cancelled job was gone, which shows how close the scenario came to violating the rule
 // ran_cancelled.
 func TestRandomFaults(t *testing.T) {
 	seeds := sortedSeeds(randomRegressionSeeds)
@@ -193,10 +198,10 @@
 			watchLeaders(scenario.Simulation)
 			scenario.RunUntil(180 * second)
 			for _, violation := range scenario.Checker.Violations {
-				t.Errorf("%s (%s)", violation, strings.Join(scenario.drawnFaults, "; "))
+				t.Errorf("%s (drawn: %s)", violation, strings.Join(scenario.drawnFaults, "; "))
 			}
 			if randomRegressionSeeds[seed] != "" && scenario.Checker.CancelledTasksStopped == 0 {
-				t.Error("got no task that stopped after the cancellation of its job was confirmed, want at least one")
+				t.Error("regression seed without effect: got no task that stopped after the cancellation of its job was confirmed, want at least one")
 			}
 			t.Logf("least margin before the end of cancel_s %v, %d tasks of cancelled jobs stopped", scenario.Checker.LeastMargin, scenario.Checker.CancelledTasksStopped)
 		})
