--- a/internal/sim/gang_faults_test.go
+++ b/internal/sim/gang_faults_test.go
@@ -11,7 +11,7 @@
 )
 
 // gangID is the job ID of the only gang in each row of TestGangFaults. The gang
-// has five tasks, two on each machine, that run for 20 s and write a checkpoint
+// has five tasks, at most two on each machine, that run for 20 s and write a checkpoint
 // every 5 s.
 const gangID = "req-000001"
 
@@ -36,9 +36,9 @@
 	return workers
 }
 
-// loseGatheringTask pauses the machine of the gang's last task, so that the gang
-// cannot start. Once three tasks wait for the others, it runs f and removes the
-// machine of the first task.
+// loseGatheringTask pauses the machine of the gang's last task for 8 s, so that the gang
+// cannot start. Once three tasks are gathering, that is, have their images and wait for
+// the other tasks, it runs f and removes the machine of the first task.
 func (s *Simulation) loseGatheringTask(f func()) {
 	s.runWhenGangTasks(model.TaskFetching, 5, func() { s.machineWithTask(gangID + "/4").Pause(8 * second) })
 	s.runWhenGangTasks(model.TaskGathering, 3, func() {
@@ -64,8 +64,9 @@
 	return workers
 }
 
-// refuseReplacement returns a fault: a gathering task is lost, and the first
-// machine that is ordered to start a replacement for it refuses with the given cause.
+// refuseReplacement returns a fault: a gathering task is lost, and the first machine that
+// is ordered to start a replacement for it refuses with the given cause. Idle machines for
+// the replacement are rented at the start.
 func refuseReplacement(cause string) func(sim *Simulation) {
 	return func(sim *Simulation) {
 		sim.Cloud.Rent("small", "b", false, 4)
@@ -100,7 +101,8 @@
 // TestGangFaults runs one gang and injects one fault at a critical moment, such as
 // between the first and the last start of its tasks. No rule may be violated, the gang
 // must be done by a given time unless it is cancelled, and it may not take more attempts
-// than the fault explains.
+// than the fault explains. Machines that are cut off with mode "hold" get the messages
+// sent meanwhile when the cut ends.
 func TestGangFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -109,7 +111,8 @@
 		inject      func(sim *Simulation)
 		doneBy      time.Duration // latest time at which the gang is done; 0: it is cancelled
 		// maxAttempts is the largest number of attempts allowed: those that the fault ends
-		// and one more.
+		// and one more, unless the gang is cancelled. A gathering task that is lost can be
+		// replaced within its attempt.
 		maxAttempts int
 		check       func(t *testing.T, sim *Simulation)
 	}{
@@ -144,7 +147,7 @@
 			})
 		}, doneBy: 70 * second, maxAttempts: 2, check: func(t *testing.T, sim *Simulation) {
 			if progress := sim.Checker.jobs[gangID].savedProgress; progress != 5*second {
-				t.Errorf("got %v of progress saved for the next attempt, want the 5 s of the last checkpoint", progress)
+				t.Errorf("got %v of progress saved for the next attempt, want 5 s, as in the last checkpoint", progress)
 			}
 		}},
 		{name: "a machine is reclaimed, and one stop command is lost at first", inject: func(sim *Simulation) {
@@ -170,8 +173,9 @@
 		{name: "a machine is reclaimed, and the stop commands arrive as the gang completes", inject: func(sim *Simulation) {
 			sim.runWhenGangTasks(model.TaskRunning, 5, func() {
 				// The leader sends the stop commands before the machine is reclaimed,
-				// earlier by the time for a save (2 s) and a report interval. They arrive
-				// in the last fifth of a second of the gang; the seed varies the moment.
+				// earlier by the time for a save (2 s) and a report interval. Depending on
+				// the seed, that is about 60 ms before the gang's 20 s are over, as they are
+				// over, or 60 ms later.
 				stopLead := 2*second + sim.Options.Config.ReportInterval + time.Duration(sim.Options.Seed%3)*60*time.Millisecond
 				sim.After(20*second-9*second+stopLead-60*time.Millisecond, sim.reclaimFirstGangMachine)
 			})
@@ -270,7 +274,7 @@
 					t.Errorf("seed %d: %s", seed, violation)
 				}
 				if done := job.confirmedDone && job.endConfirmedAt <= tc.doneBy; done != (tc.doneBy > 0) {
-					t.Errorf("seed %d: got done %v at %v, want done by %v (0s: cancelled)", seed, job.confirmedDone, job.endConfirmedAt, tc.doneBy)
+					t.Errorf("seed %d: got confirmed as done %v at %v, want done by %v (0s: not done but cancelled)", seed, job.confirmedDone, job.endConfirmedAt, tc.doneBy)
 				}
 				if tc.doneBy == 0 && (job.cancelConfirmedAt == 0 || len(job.runningOn) > 0) {
 					t.Errorf("seed %d: got cancellation confirmed at %v (0s: not) and %d tasks still running, want it confirmed and no tasks", seed, job.cancelConfirmedAt, len(job.runningOn))
@@ -303,8 +307,8 @@
 	}
 }
 
-// holdCommands makes the network hold everything that controllers send to a machine,
-// and deliver it after the given duration.
+// holdCommands makes the network hold everything that controllers send to a machine, also
+// their replies to its reports, and deliver it after the given duration.
 func (s *Simulation) holdCommands(endpoint string, duration time.Duration) {
 	for _, controller := range s.Controllers {
 		s.link(controller.Name, endpoint).mode = "hold"
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -19,9 +19,9 @@
 }
 
 // submitGangs submits a gang of one to six tasks every 5 s until the given time.
-// Some must be in one zone, some may use spot machines, some belong to a team with
-// a limit, and some preempt other work by their priority or by the guarantee of their
-// team.
+// Some must be in one zone, some may use spot machines, some write no checkpoints, some
+// belong to team "tight", which has a limit, and some preempt other work by their priority
+// or by the guarantee of team "own".
 func submitGangs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+5*second {
 		job := gangJob(fmt.Sprintf("req-%06d", 300000+i), 1+(i*5)%6)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestGangScenarios runs gangs and the mixed load through the faults of some of the
-// other scenarios. It checks that no rule is violated and that all gangs are done.
+// TestGangScenarios runs gangs and the mixed load through some of the fault scenarios and
+// combined faults. It checks that no rule is violated and that all gangs are done.
 func TestGangScenarios(t *testing.T) {
 	type scenario struct {
 		name   string
@@ -103,12 +103,12 @@
 					if job.accepted && !job.cancelRequested && job.spec.Kind == model.KindGang {
 						gangs++
 						if job.confirmedDone || !sim.Checker.canStart(job) {
-							done++ // services or the team's limit may leave no capacity for the gang
+							done++ // a gang that can't start now also counts: services or its team's limit may leave no capacity for it
 						}
 					}
 				}
 				if gangs == 0 || done < gangs {
-					t.Errorf("seed %d: got %d of %d gangs done at the end, want at least one gang and all of them done", seed, done, gangs)
+					t.Errorf("seed %d: got %d of %d gangs done or unable to start at the end, want at least one gang and all of them", seed, done, gangs)
 				}
 				t.Logf("seed %d: %d of %d gangs done, %d starts", seed, done, gangs, sim.Checker.TaskStarts)
 			}
@@ -116,9 +116,10 @@
 	}
 }
 
-// TestLargeGangStartsUnderArrayLoad continuously submits arrays, which take all
-// capacity that becomes free. A gang that needs three of the six machines of a zone
-// must still start, on machines that are reserved for it, and the arrays must go on.
+// TestLargeGangStartsUnderArrayLoad continuously submits arrays (batch jobs of many
+// tasks), which take all capacity that becomes free. A gang that needs three of the six
+// machines of a zone must still start, on machines that are reserved for it, and the
+// arrays must go on.
 func TestLargeGangStartsUnderArrayLoad(t *testing.T) {
 	opt := DefaultOptions(3)
 	opt.Capacity = 6
@@ -136,14 +137,14 @@
 	sim.At(60*second, func() { sim.Users.Submit(gang, 10*second) })
 	sim.RunUntil(60 * second)
 	if n := sim.runningTaskCount(); n < 60 {
-		t.Fatalf("got %d tasks running on 72 CPUs before the gang is submitted, want at least 60", n)
+		t.Fatalf("got %d tasks running on 72 CPUs at 60 s, before the gang is submitted, want at least 60", n)
 	}
 	sim.RunUntil(120 * second)
 	if job := sim.Checker.jobs[gang.ID]; job.firstStartedAt == 0 || job.firstStartedAt > 105*second {
 		t.Errorf("gang submitted at 60 s: got first start at %v (0s: none), want it by 105 s", job.firstStartedAt)
 	}
 	if n := sim.runningTaskCount(); n < 50 {
-		t.Errorf("got %d tasks running on 72 CPUs at 120 s, after the gang, want at least 50", n)
+		t.Errorf("got %d tasks running on 72 CPUs at 120 s, after the gang has started, want at least 50", n)
 	}
 	for _, violation := range sim.Checker.Violations {
 		t.Error(violation)
@@ -181,7 +182,7 @@
 		t.Errorf("gangs submitted after 40 s: got %d of 7 started later than 5 s after submission, want at most 1", lateGangs)
 	}
 	if n := len(sim.Workers); n > 0 {
-		t.Errorf("got %d machines up 100 s after the last gang, want 0", n)
+		t.Errorf("got %d machines up 113 s after the last gang was submitted, want 0", n)
 	}
 	for _, violation := range sim.Checker.Violations {
 		t.Error(violation)
@@ -190,8 +191,9 @@
 
 // TestGangLargerThanCloudCapacity submits a gang that needs more machines than the
 // cloud has. The gang must stay known and wait, at no lasting cost to other work:
-// machines are rented for it less and less often, none is reserved for it, and
-// arrays start in time. The gang runs once the cloud has enough machines.
+// machines must be rented for it less and less often and not be reserved for it, and
+// arrays (batch jobs of many tasks) must start in time. The gang must run once the cloud
+// has enough machines.
 func TestGangLargerThanCloudCapacity(t *testing.T) {
 	opt := DefaultOptions(3)
 	opt.Config.Goals = map[string]core.Goal{"gang": {StartWithin: 5 * second}}
@@ -203,7 +205,7 @@
 		job.Class = "array"
 		sim.At(time.Duration(20+25*i)*second, func() { sim.Users.Submit(job, 8*second) })
 	}
-	var rented, idle time.Duration // summed over all machines, from 300 s on
+	var rented, idle time.Duration // machine time from 300 s on, summed over all machines
 	sim.At(300*second, func() {
 		var sample func()
 		sample = func() {
@@ -224,7 +226,7 @@
 		}
 	}
 	if job := sim.Checker.jobs[gang.ID]; job.firstStartedAt != 0 || job.confirmedDone || !job.accepted {
-		t.Errorf("got gang accepted %v, first started at %v (0s: not); want accepted, not started and not done", job.accepted, job.firstStartedAt)
+		t.Errorf("gang larger than the cloud, at 550 s: got accepted %v, first started at %v (0s: not), want accepted, not started and not confirmed as done", job.accepted, job.firstStartedAt)
 	}
 	// The arrays take two to three machines, each of which idles for at most a minute.
 	if meanIdle := idle.Seconds() / 250; meanIdle > 4 {
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -11,9 +11,9 @@
 	"mulleinfall/internal/sched"
 )
 
-// TestGuaranteePreemptsBorrower checks that a team that borrows all machines loses
-// the capacity that another team's guarantee needs, and no more, although the
-// priorities are equal.
+// TestGuaranteePreemptsBorrower checks that a team that borrows all machines (uses them
+// beyond its own guarantee) loses the capacity that another team's guarantee needs, and no
+// more, although the priorities are equal.
 func TestGuaranteePreemptsBorrower(t *testing.T) {
 	opt := DefaultOptions(4)
 	opt.Capacity = 1 // three machines of 4 CPUs, and three spot machines that these jobs may not use
@@ -26,10 +26,10 @@
 	sim.At(60*second, func() { sim.Users.Submit(claimant, 10*second) })
 	sim.RunUntil(100 * second)
 	if n := len(sim.Checker.jobs["req-000002"].doneTasks); n != 4 {
-		t.Errorf("got %d tasks within the guarantee done after 40 s, want 4", n)
+		t.Errorf("got %d tasks within the guarantee done 40 s after their submission, want 4", n)
 	}
 	if n := len(sim.Checker.jobs["req-000001"].runningOn); n < 8 {
-		t.Errorf("got %d tasks of the borrower still running, want the 8 that the guarantee doesn't need", n)
+		t.Errorf("got %d tasks of the borrower still running, want at least the 8 that the guarantee leaves it", n)
 	}
 }
 
@@ -69,8 +69,8 @@
 }
 
 // TestIdleMachinesServeDuringCloudOutage checks that a machine gets tasks again after
-// the cloud has refused its return. Such a machine once stayed empty until the cloud
-// was back, while jobs waited.
+// the cloud has refused its return. In an earlier version, such a machine stayed empty
+// until the cloud was back, while jobs waited.
 func TestIdleMachinesServeDuringCloudOutage(t *testing.T) {
 	sim := New(DefaultOptions(4))
 	sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 4), 5*second) })
@@ -78,12 +78,12 @@
 	sim.At(120*second, func() { sim.Users.Submit(batchJob("req-000002", 4), 5*second) })
 	sim.RunUntil(150 * second)
 	if n := len(sim.Checker.jobs["req-000002"].doneTasks); n != 4 {
-		t.Errorf("got %d tasks done on the idle machine after 30 s, want 4", n)
+		t.Errorf("got %d tasks of the second job done 30 s after its submission in the outage, want 4", n)
 	}
 }
 
 // TestGangRunsTogether checks that all tasks of a gang run at the same time, and that
-// the gang is done even if one machine is lost while it runs.
+// the gang is done even if one machine is lost while the gang runs.
 func TestGangRunsTogether(t *testing.T) {
 	sim := New(DefaultOptions(4))
 	gang := batchJob("req-000001", 6)
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestLowPriorityJobDoesNotStarve submits more urgent work than the machines can do, all
-// the time, adds a burst of service replicas, and removes a machine. The job of the lowest
-// priority, which is the largest of its class, must start within maxStartDelay all the
-// same.
+// TestLowPriorityJobDoesNotStarve continuously submits more urgent work than the machines
+// can do, adds a burst of service replicas, and removes a machine. The job of the lowest
+// priority, which is the only one of its class and so counts as the largest, must still
+// start within maxStartDelay, which CheckServed checks.
 func TestLowPriorityJobDoesNotStarve(t *testing.T) {
 	opt := DefaultOptions(6)
 	opt.Capacity = 1 // three machines of 4 CPUs, and three spot machines that these jobs may not use
@@ -154,8 +154,8 @@
 }
 
 // TestUnresponsiveMachineLeaseIsNotRenewed pauses a machine for 6 s, so that the leader
-// marks it in the registry as unresponsive, with its last-contact time. The machine
-// continues while the state service is out, so that the leader can't remove the mark.
+// marks it in the registry as unresponsive, with the time of the last reply to it. The
+// machine resumes while the state service is out, so that the leader can't remove the mark.
 // Then the leader crashes. Its successor counts the machine's lease from the time in the
 // mark. No controller may have renewed the lease in the meantime, because the successor
 // would then start the machine's tasks elsewhere while they still run.
@@ -182,9 +182,9 @@
 }
 
 // TestMaxMachinesLimit checks that no more machines are rented than the operators
-// allow, that this is logged once, and that there is no limit if they set none. A
-// built-in limit once kept a fleet from renting at all, because the fleet had more
-// machines than the limit.
+// allow, that reaching the limit is logged once, and that there is no limit if they set
+// none. An earlier version had a built-in limit, which kept a fleet with more machines than
+// that from renting at all.
 func TestMaxMachinesLimit(t *testing.T) {
 	for _, limit := range []int{0, 5} {
 		opt := DefaultOptions(6)
@@ -199,19 +199,19 @@
 		sim := New(opt)
 		sim.At(second, func() { sim.Users.Submit(batchJob("req-000001", 60), 200*second) })
 		sim.RunUntil(60 * second)
-		want, lines := 12, 0
+		want, lines := 12, 0 // without a limit: all machines that these jobs may use, 4 in each zone
 		if limit > 0 {
 			want, lines = limit, 1
 		}
 		if n := len(sim.Cloud.machines); n != want || logged != lines {
-			t.Errorf("limit %d: got %d machines and %d log lines, want %d and %d", limit, n, logged, want, lines)
+			t.Errorf("limit %d: got %d machines rented and %d log lines about the limit, want %d and %d", limit, n, logged, want, lines)
 		}
 	}
 }
 
 // TestGangPreemption checks that a gang within its team's guarantee, or more urgent
 // than running work, preempts other work on all machines that it needs at once. If
-// the whole gang still wouldn't fit, nothing is preempted.
+// the whole gang wouldn't fit even so, nothing is preempted.
 func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
 	guaranteedGang := func(tasks int) model.Job {
@@ -229,7 +229,7 @@
 		starts    bool
 		remaining map[string]int
 	}{
-		{name: "within the guarantee, and others borrow", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(4), starts: true,
+		{name: "within the guarantee, and another team borrows", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(4), starts: true,
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 4}},
 		{name: "a part of the gang is beyond the guarantee", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(5),
 			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
@@ -301,7 +301,7 @@
 			sim.RunUntil(arrival + 15*second)
 			for id, want := range tc.remaining {
 				if fewestRunning[id] != want {
-					t.Errorf("got at least %d tasks of %s running at all times, want %d", fewestRunning[id], id, want)
+					t.Errorf("got as few as %d tasks of %s running at some moment, want %d as the fewest", fewestRunning[id], id, want)
 				}
 			}
 			if started := sim.Checker.jobs[tc.gang.ID].firstStartedAt != 0; started != tc.starts {
