--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -14,14 +14,15 @@
 )
 
 // combinedFaultScenarios are scenarios in which two or more faults meet. Operators have
-// seen rules violated in such cases. In all of them users poll all controllers, cancel
-// some jobs as their last task ends, and send repeated and impossible requests.
+// seen rules of the protocol violated in such cases. In all of them users poll all
+// controllers at the same time, cancel some jobs as their last task ends, and send repeated
+// and impossible requests.
 var combinedFaultScenarios = []struct {
 	name string
 	// cpuLimit is the limit of team "tight" in CPUs; 0 means 9.
 	cpuLimit    float64
 	editOptions func(opt *Options)
-	load        func(sim *Simulation)
+	load        func(sim *Simulation) // submits jobs; nil: the mixed load and long jobs
 	inject      func(sim *Simulation)
 }{
 	{name: "the state service is slow and refuses the leader, then everyone, while users cancel and poll jobs", inject: func(sim *Simulation) {
@@ -160,8 +161,8 @@
 				for k, endpoint := range sortedKeys(sim.Workers) {
 					switch {
 					case i%2 == 1:
-						// These get a message from the new leader first and then can't be
-						// reached for 8 s, by makeUnreachableOnceFenced below.
+						// In every second round, makeUnreachableOnceFenced below makes machines
+						// with cancelled tasks unreachable, once the new leader has reached them.
 					case k%3 == 0:
 						sim.cutMachine(sim.Workers[endpoint], 14*second, "hold")
 					case k%3 == 1:
@@ -174,7 +175,7 @@
 			}
 			sim.At(at+time.Second, func() {
 				sim.crashLeader(time.Duration(300+2000*i) * time.Millisecond)
-				if i == 3 { // no controller is left that remembers the cancelled jobs
+				if i == 3 { // all crash, so that no controller remembers the cancelled jobs
 					sim.After(time.Second, func() {
 						for _, controller := range sim.Controllers {
 							controller.CrashFor(400 * time.Millisecond)
@@ -282,17 +283,18 @@
 	}, inject: func(sim *Simulation) {}},
 }
 
-// crashLeader crashes the current leader, if any, which restarts after the given
-// delay.
+// crashLeader crashes the current leader, if any. The controller restarts after the
+// given delay.
 func (s *Simulation) crashLeader(restartDelay time.Duration) {
 	if leader := s.Leader(); leader != nil {
 		leader.CrashFor(restartDelay)
 	}
 }
 
-// makeUnreachableOnceFenced keeps commands from reaching each machine that has tasks of
-// cancelled jobs, for 8 s from the time at which it has the epoch of a new leader. So the
-// new leader knows of tasks that it can't stop yet.
+// makeUnreachableOnceFenced watches the machines with tasks of cancelled jobs until the
+// given time. As soon as one is fenced, that is, has the epoch of a new leader and so refuses
+// commands of earlier leaders, neither commands nor replies to its reports reach it for 8 s.
+// So the new leader knows of tasks that it can't stop yet.
 func (s *Simulation) makeUnreachableOnceFenced(until time.Duration) {
 	terms := map[*Worker]uint64{} // an epoch holds the term above its lowest 20 bits
 	for _, worker := range s.Workers {
@@ -340,9 +342,10 @@
 	}
 }
 
-// cancelRunningJobs has users cancel n running jobs within 200 ms. It prefers jobs whose
-// tasks run longer, in whole minutes, and chooses at random among equal ones. If pauseFor
-// is positive, the machines that run the jobs are paused for that long.
+// cancelRunningJobs has users cancel up to n running jobs within 200 ms. It prefers jobs
+// with longer run times, counted in whole minutes, and chooses at random among jobs with
+// equal ones. If pauseFor is positive, the machines that run the jobs are paused for that
+// long.
 func (s *Simulation) cancelRunningJobs(n int, pauseFor time.Duration) {
 	ids := sortedKeys(s.Checker.jobs)
 	s.Rand.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
@@ -388,8 +391,8 @@
 	}
 }
 
-// submitZoneBoundJobs submits jobs that must be in one zone, which they name or leave
-// open.
+// submitZoneBoundJobs submits batch jobs and services whose tasks must all be in one zone.
+// Some name the zone, the others leave it open.
 func submitZoneBoundJobs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+4*second {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 1+i%6)
@@ -423,7 +426,7 @@
 	}
 }
 
-// submitFullTeamJobs submits enough jobs to keep team "tight" at its limit.
+// submitFullTeamJobs submits enough jobs of team "tight" to keep it at its limit.
 func submitFullTeamJobs(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+7*second {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 1+i%4)
@@ -432,7 +435,8 @@
 	}
 }
 
-// submitOverload submits more jobs than there is capacity for, of several priorities.
+// submitOverload submits more batch jobs than there is capacity for, of several
+// priorities, and some services, which are cancelled after 60 s.
 func submitOverload(sim *Simulation, until time.Duration) {
 	for i, at := 0, 2*second; at < until; i, at = i+1, at+2*second {
 		job := batchJob(fmt.Sprintf("req-%06d", i), 3+i%5)
@@ -447,7 +451,7 @@
 }
 
 // sendRepeatedAndImpossibleRequests has users repeat submissions, cancel jobs that are
-// done and submit jobs that can never run.
+// done and submit jobs that can never run, every 7 s from 20 s on.
 func sendRepeatedAndImpossibleRequests(sim *Simulation, until time.Duration) {
 	for i, at := 0, 20*second; at < until; i, at = i+1, at+7*second {
 		sim.At(at, func() {
@@ -479,13 +483,17 @@
 // extraSeeds are seeds with which a scenario exercises a safeguard that it doesn't
 // reach with the other seeds.
 var extraSeeds = map[string][]uint64{
-	"a team is at its limit, its cancelled jobs are on machines that can't be reached, and the leader changes": {6}, // new jobs arrive before all machines are accounted for
+	// New jobs arrive before the new leader has accounted for all machines, that is, knows
+	// which tasks run on each registered machine or that the machine is gone.
+	"a team is at its limit, its cancelled jobs are on machines that can't be reached, and the leader changes": {6},
 }
 
-// TestCombinedFaults runs each combination of faults. It checks that no rule is violated,
-// that no job waits for long while there is capacity for it once the faults are over, that
-// every accepted job stays known, that no class or team starves, and that all batch jobs
-// are done at the end.
+// TestCombinedFaults runs each combination of faults. It checks that no rule of the
+// protocol is violated. From 170 s on, when the faults are over, no job may wait for long
+// while there is capacity for it. At 200 s, each controller gets 75 s to answer a poll of
+// every accepted job, after which all replicas of services must run. At the end, at least
+// half of the jobs of each class and team must have started (see CheckServed), and all
+// batch jobs must be done, except cancelled ones.
 func TestCombinedFaults(t *testing.T) {
 	for _, scenario := range combinedFaultScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -525,9 +533,9 @@
 				}
 				accepted, done := sim.Checker.CountBatchJobs()
 				if accepted == 0 || done < accepted {
-					t.Errorf("seed %d: got %d of %d accepted jobs done at the end, want at least one job and all of them done", seed, done, accepted)
+					t.Errorf("seed %d: got %d of %d accepted batch jobs done at the end, want at least one job and all of them done", seed, done, accepted)
 				}
-				t.Logf("seed %d: %d starts, %d of them after the cancellation, %d of %d jobs done", seed, sim.Checker.TaskStarts, sim.Checker.StartsAfterCancellation, done, accepted)
+				t.Logf("seed %d: %d starts, %d of them after the cancellation was confirmed, %d of %d batch jobs done", seed, sim.Checker.TaskStarts, sim.Checker.StartsAfterCancellation, done, accepted)
 			}
 		})
 	}
--- a/internal/sim/large_fleet_test.go
+++ b/internal/sim/large_fleet_test.go
@@ -13,13 +13,13 @@
 // counts the controllers' calls to the state service and to workers.
 type largeFleet struct {
 	*Simulation
-	machines int
+	machines int // number of machines rented at the start
 
 	// Counters of changes written to the state service, requests to it, and direct
-	// commands to workers.
+	// commands to workers, which are those not sent in reply to a report.
 	changesWritten, storeRequests, directCommands, maxCommandsInFlight, commandsInFlight int
 
-	roundsByInterval map[time.Duration]int // scheduling rounds, keyed by the number of the report interval
+	roundsByInterval map[time.Duration]int // scheduling rounds, keyed by the number of the report interval in which they start
 }
 
 // newDefaultFleet starts a fleet of 450 machines with the default options.
@@ -31,8 +31,8 @@
 	return newLargeFleet(largestDeploymentOptions(seed), machinesPerZone)
 }
 
-// largestDeploymentOptions returns the options of the largest deployments. Workers check their tasks
-// every 100 ms instead of every 20 ms, to save simulation time.
+// largestDeploymentOptions returns the options of the largest deployments. Workers make a
+// step every 100 ms instead of every 20 ms, so that the simulation takes less time.
 func largestDeploymentOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	config := &opt.Config
@@ -43,12 +43,12 @@
 	return opt
 }
 
-// newLargeFleet starts a fleet with the given number of machines in each zone, and counts the
-// scheduling rounds and the controllers' calls.
+// newLargeFleet starts a fleet with the given number of machines in each zone, and counts
+// the scheduling rounds and the controllers' calls.
 func newLargeFleet(opt Options, machinesPerZone int) *largeFleet {
 	fleet := &largeFleet{roundsByInterval: map[time.Duration]int{}, machines: machinesPerZone * len(opt.Zones)}
 	opt.Capacity = machinesPerZone
-	opt.Config.Stopwatch = func() func() time.Duration {
+	opt.Config.Stopwatch = func() func() time.Duration { // the core starts it once in each scheduling round
 		if fleet.Simulation != nil {
 			fleet.roundsByInterval[fleet.Now/opt.Config.ReportInterval]++
 		}
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestLargeFleet bounds costs that once grew with the number of machines: writes of
-// the machine registry, scheduling rounds, concurrent direct commands, and the time
-// until all machines run tasks.
+// TestLargeFleet bounds costs that grew with the number of machines in earlier versions:
+// writes of the machine registry, scheduling rounds, concurrent direct commands, and the
+// time until tasks run after a start and until a new leader has replied to all machines.
 func TestLargeFleet(t *testing.T) {
 	fleet := newDefaultFleet(1)
 	fleet.submitLoad(100 * second)
@@ -116,13 +116,13 @@
 		t.Errorf("got %.0f requests and %.0f changes a second, want at most the limits of the state service", requestRate, changeRate)
 	}
 	for at, n := range fleet.roundsByInterval {
-		if n > 26 { // 24 rounds in an interval, and one at each end
+		if n > 26 { // the core makes at most 24 rounds in an interval; one more may fall on each end
 			t.Errorf("got %d scheduling rounds in the report interval from %v, want at most 26", n, at*fleet.Options.Config.ReportInterval)
 		}
 	}
 
-	// The leader crashes. Its successor must reach every machine well before the
-	// machine's lease expires, without querying all of them at the same time.
+	// The leader crashes. Its successor must reach every machine before the machine's
+	// lease expires, without querying all of them at the same time.
 	commandsBefore, violationsBefore := fleet.directCommands, len(fleet.Checker.Violations)
 	running := fleet.runningTaskCount()
 	fleet.maxCommandsInFlight = 0
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestLargeFleetZoneCut cuts off a third of a large fleet. Hardly any machine of the
-// zone may be returned, the other zones go on, and the tasks of the zone must run
-// elsewhere before the cut ends.
+// TestLargeFleetZoneCut cuts off one of the three zones of a large fleet for 40 s. Hardly
+// any machine of the zone may be returned to the cloud, the other zones must go on, and
+// the replicas of services that ran in the cut zone must run in them before the cut ends.
 func TestLargeFleetZoneCut(t *testing.T) {
 	fleet := newDefaultFleet(2)
 	fleet.submitLoad(60 * second)
@@ -164,7 +164,7 @@
 	}
 	for _, id := range sortedKeys(fleet.Checker.jobs) {
 		if job := fleet.Checker.jobs[id]; job.spec.Kind == model.KindService && len(job.runningOn) != job.spec.Tasks {
-			t.Errorf("%s: got %d replicas running 35 s after the cut, want %d", id, len(job.runningOn), job.spec.Tasks)
+			t.Errorf("%s: got %d replicas running 35 s after the start of the cut, want %d", id, len(job.runningOn), job.spec.Tasks)
 		}
 	}
 	fleet.RunUntil(130 * second)
@@ -173,11 +173,13 @@
 	}
 }
 
-// TestLostMachinesDoNotDelayTakeover checks that lost machines don't delay the work
-// after an election. A machine that the cloud reclaimed after notice is returned by
-// name, which makes sure that it is gone. A machine that died with the leader is
-// presumed lost after a command that it doesn't answer. Each of the two once kept all
-// older jobs of a large fleet waiting.
+// TestLostMachinesDoNotDelayTakeover checks that lost machines don't delay a takeover. A
+// new leader starts no task of a job from before its election until all machines that may
+// already run one are accounted for: each has listed its tasks to this leader, or its tasks
+// have certainly ended. A machine that the cloud reclaimed after notice is returned by name, which
+// makes sure that it is gone. A machine that died together with the leader is presumed lost
+// and returned after a command that it doesn't answer. In earlier versions, one such
+// machine of either kind kept all older jobs of a large fleet waiting.
 func TestLostMachinesDoNotDelayTakeover(t *testing.T) {
 	fleet := newLargestDeployment(3, 150)
 	fleet.submitLoad(100 * second)
@@ -192,13 +194,13 @@
 	fleet.At(20*second, func() { fleet.Cloud.Reclaim("n-000007", 10*second) })
 	fleet.RunUntil(40 * second)
 	if returnedAt == 0 || returnedAt > 33*second {
-		t.Errorf("machine reclaimed at 30 s: got it returned at %v (0s: not), want by 33 s", returnedAt)
+		t.Errorf("machine reclaimed by the cloud at 30 s: got it returned by name at %v (0s: not), want by 33 s", returnedAt)
 	}
 	fleet.Cloud.RemoveMachine("n-000008")
 	fleet.Leader().Crash()
 	fleet.RunUntil(90 * second)
 	if maxDelay := 10 * second; settledAt < electedAt || settledAt-electedAt > maxDelay {
-		t.Errorf("leader elected at %v: got all machines accounted for at %v, want within %v", electedAt, settledAt, maxDelay)
+		t.Errorf("leader elected at %v: got all machines accounted for at %v, want after the election and within %v of it", electedAt, settledAt, maxDelay)
 	}
 	for _, violation := range fleet.Checker.Violations {
 		t.Error(violation)
@@ -206,11 +208,11 @@
 }
 
 // TestCutZoneDoesNotDelayOtherMachines cuts off a zone as all controllers crash. The
-// next leader reaches the other zones and then loses the state service, and four
-// machines of the other zones die at that time. Its successor must return these four
-// within 6 s of its election, although the machines of the cut zone don't answer its
-// commands either. It must have all machines accounted for when the leases of the cut
-// zone have expired.
+// next leader reaches the other zones, but then loses the state service and steps down.
+// At that time four machines of the other zones die. The last leader must return these
+// four within 6 s of its election, although the machines of the cut zone don't answer its
+// commands either. It must have accounted for all machines as soon as the leases in the
+// cut zone have expired.
 func TestCutZoneDoesNotDelayOtherMachines(t *testing.T) {
 	opt := DefaultOptions(5)
 	opt.Config.MaxDirectCommands = 24
@@ -252,6 +254,7 @@
 			t.Errorf("machine %s died at the election at %v: got it returned at %v (0s: not), want within 6 s of the election", host, electedAt[2], at)
 		}
 	}
+	// The second leader never replied to the cut zone and has told its successor so.
 	if limit := electedAt[1] + opt.Config.Lease + second; settledAt[1] > limit {
 		t.Errorf("got all machines accounted for at %v, want by %v, when the leases of the cut zone have expired", settledAt[1], limit)
 	}
@@ -300,12 +303,12 @@
 }
 
 // TestAllocationsOfRounds checks scheduling rounds and ticks that find nothing to do
-// while a job waits that fits on no machine. They go over all machines, but may make at
-// most one allocation for each machine.
+// while a job waits for which no machine has free capacity. A tick with its round goes over
+// all machines, but may make at most one allocation for each machine.
 func TestAllocationsOfRounds(t *testing.T) {
 	allocations := func(machinesPerZone int) float64 {
 		fleet := newLargeFleet(DefaultOptions(2), machinesPerZone)
-		for i := range machinesPerZone { // each takes three machines
+		for i := range machinesPerZone { // each service fills three machines, so that all are full
 			fleet.At(second, func() { fleet.Users.Submit(serviceJob(fmt.Sprintf("req-%06d", i), 6), 0) })
 		}
 		fleet.At(30*second, func() {
@@ -321,8 +324,8 @@
 			return total
 		}
 		now, roundsBefore := leader.monotonicNow(), roundCount()
-		perRound := testing.AllocsPerRun(4, func() { // AllocsPerRun calls it once more, before the measurement
-			now += fleet.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth
+		perRound := testing.AllocsPerRun(4, func() { // AllocsPerRun calls the function once more, before the measurement
+			now += fleet.Options.Config.ReportInterval/6 + time.Millisecond // a round is due each sixth of a report interval
 			leader.State.Step(now, core.Tick{WallMs: now.Milliseconds()})
 		})
 		if got := roundCount() - roundsBefore; got < 5 || !leader.State.IsLeaderAt(now) {
@@ -339,7 +342,7 @@
 // TestLargestDeployment runs 2,100 machines through a start, ordinary load, a crash of
 // the leader, a crash of all controllers, which restart at once and crash again
 // during the election, and a pause of a hundred machines for longer than their
-// lease. Throughout, some requests and reports arrive a second time, late. The test
+// lease. All the while, some requests and reports arrive a second time, late. The test
 // bounds the load on the state service and the number of concurrent direct commands, each
 // of which takes a connection.
 func TestLargestDeployment(t *testing.T) {
@@ -374,7 +377,7 @@
 		fleet.maxCommandsInFlight = 0
 		fleet.RunUntil(until)
 		elapsedSeconds := (fleet.Now - from).Seconds()
-		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // the count is over all three controllers, of which one leads at a time
+		if fleet.maxCommandsInFlight > config.MaxDirectCommands*3/2 { // the limit is for each controller; the count is over all three, but only one leads at a time
 			t.Errorf("%s: got %d direct commands at the same time, want at most 3/2 of the limit", stage, fleet.maxCommandsInFlight)
 		}
 		if n := fleet.directCommands - commands; n > 3*elections*fleet.machines {
@@ -431,14 +434,14 @@
 type fleetWork struct {
 	machines                  int
 	allocsPerReport           float64       // by the leader
-	scansPerMachine           float64       // from the election until all machines are accounted for
+	scansPerMachine           float64       // checks of whether a machine is accounted for, until all are
 	commandsPerMachine        float64       // direct commands in the 20 s after the crash of the leader
 	takeoverDuration          time.Duration // from the election until all machines are accounted for
-	steadyChanges             float64       // changes written to the state service in 30 s of ordinary load
+	steadyChanges             float64       // changes written to the state service in 30 s of ordinary load, before the crash
 	takeoverChanges           float64       // changes written in the 20 s after the crash
 	takeoverRequestsPerSecond float64       // requests to the state service in these 20 s
 	leastCancelMargin         time.Duration // least time left of cancel_s when a task of a cancelled job was gone
-	leasesLost                int
+	leasesLost                int           // machines whose lease has expired
 }
 
 // measureFleetWork runs a fleet for 70 s. At 50 s ten jobs are cancelled and the
@@ -482,7 +485,8 @@
 // the scans of each machine and the commands to each machine in a takeover, and the
 // changes written under ordinary load. At each size, no lease may expire in a takeover,
 // the load on the state service may reach half of its limits at most, and the tasks of
-// jobs that are cancelled as the leader crashes must be gone in time.
+// jobs that are cancelled as the leader crashes must be gone within a lease of the
+// confirmation.
 func TestWorkByFleetSize(t *testing.T) {
 	limits := largestDeploymentOptions(1).Config
 	var smallest fleetWork
@@ -502,7 +506,7 @@
 			t.Errorf("%d machines: got %.0f changes in 30 s, want at most 1.5 times the %.0f of the smallest fleet", work.machines, work.steadyChanges, smallest.steadyChanges)
 		}
 		if work.takeoverDuration <= 0 || work.takeoverDuration > limits.Lease/2 || work.leasesLost > 0 {
-			t.Errorf("%d machines: got all accounted for %v after the election and %d expired leases, want a positive time of at most half a lease, and none", work.machines, work.takeoverDuration, work.leasesLost)
+			t.Errorf("%d machines: got all accounted for %v after the election and %d expired leases, want a positive time of at most half a lease, and no expired lease", work.machines, work.takeoverDuration, work.leasesLost)
 		}
 		if work.takeoverRequestsPerSecond > limits.StoreRPS/2 || work.takeoverChanges > 20*limits.StoreWriteRPS/2 {
 			t.Errorf("%d machines: got %.0f requests a second and %.0f changes in a takeover, want at most half of the limits", work.machines, work.takeoverRequestsPerSecond, work.takeoverChanges)
--- a/internal/sim/rolling_upgrade_test.go
+++ b/internal/sim/rolling_upgrade_test.go
@@ -18,7 +18,7 @@
 
 // storedFields returns the kind of a key of the state service (its first two path
 // elements) and the names of all fields in its value, at any depth. The machine names
-// in registry pages don't count as fields.
+// in pages of the machine registry (kind mf/r) don't count as fields.
 func storedFields(key string, value []byte) (string, []string) {
 	dir := strings.Join(strings.SplitN(key, "/", 3)[:2], "/")
 	var v any
@@ -47,7 +47,8 @@
 }
 
 // productionFields returns, for each kind of key, the fields that the version in
-// production stores.
+// production stores. That is the previous version, from which the tests upgrade. Its
+// samples are lines "value KEY", each followed by an indented line with the value.
 func productionFields(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile("../core/testdata/production.txt")
@@ -79,8 +80,8 @@
 	return knownFields
 }
 
-// The lowered limits of the state service: bytes in a value, changes in a
-// transaction, and changes a second.
+// The limits to which the state service is lowered during or after an upgrade: bytes in
+// a value, changes in a transaction, and changes a second.
 const (
 	loweredValueBytes      = 2 << 10
 	loweredTxnOps          = 4
@@ -93,8 +94,8 @@
 }
 
 // upgradeOptions returns the options of a cluster that runs the previous version and
-// is upgraded to the present one. The present version keeps to the lowered limits
-// from the start.
+// is upgraded to the present one. The present version keeps to the lowered limits from
+// the start, the previous version to the limits before that.
 func upgradeOptions(seed uint64) Options {
 	opt := DefaultOptions(seed)
 	opt.Config.Teams["tight"] = core.Team{Limit: sched.Resources{CPUs: 9}}
@@ -107,8 +108,10 @@
 	return opt
 }
 
-// upgradeWatcher checks all writes and replies of the controllers during a rolling
-// upgrade.
+// upgradeWatcher checks the controllers' writes during a rolling upgrade, and records when
+// the cluster version is raised and when the first gang is accepted. The cluster version
+// is the version of messages and stored values that the controllers may use. It is raised
+// once all controllers run the present version, and only then gangs are accepted.
 type upgradeWatcher struct {
 	t                   *testing.T
 	knownFields         map[string]map[string]bool // fields that the version in production stores, for each kind of key
@@ -116,7 +119,8 @@
 	firstGangAcceptedAt time.Duration              // when the first gang was accepted; 0: not yet
 }
 
-// observe checks an effect of a controller and returns it unchanged.
+// observe passes a write to checkWrite, or records the first acceptance of a gang. It
+// returns the effect unchanged.
 func (watcher *upgradeWatcher) observe(sim *Simulation, controller *Controller, effect core.Effect) core.Effect {
 	switch e := effect.(type) {
 	case core.StoreCall:
@@ -137,14 +141,15 @@
 		return
 	}
 	if len(call.Changes) > loweredTxnOps {
-		watcher.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit", controller.Name, len(call.Changes))
+		watcher.t.Errorf("%s: got %d changes in a transaction, want at most the lowered limit of the state service", controller.Name, len(call.Changes))
 	}
 	for _, change := range call.Changes {
 		if len(change.Value) > loweredValueBytes {
-			watcher.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit", controller.Name, len(change.Value), change.Key)
+			watcher.t.Errorf("%s: got %d bytes written to %s, want at most the lowered limit of the state service", controller.Name, len(change.Value), change.Key)
 		}
-		// mf/forms and mf/v/ are keys that the version in production doesn't know and
-		// ignores. The first write of mf/forms raises the cluster version.
+		// The version in production doesn't know the keys mf/forms (the cluster version)
+		// and mf/v/ (the version of each controller), and ignores them. The first write of
+		// mf/forms raises the cluster version.
 		if change.Key == "mf/forms" {
 			if watcher.versionRaisedAt == 0 {
 				watcher.versionRaisedAt = sim.Now
@@ -167,7 +172,7 @@
 }
 
 // upgradeFaults are the faults that are injected into a rolling upgrade. inject gets the
-// times at which the controllers are upgraded.
+// times at which the controllers are upgraded, between 40 and 71 s.
 var upgradeFaults = []struct {
 	name            string
 	limitsLoweredAt time.Duration // when the state service lowers its limits; 0: at 100 s, after the upgrade
@@ -212,9 +217,10 @@
 
 // TestRollingUpgrade upgrades the controllers one by one from the previous version to
 // the present one, in each order, under load, with injected faults and with crashes
-// that the seed chooses. Then the state service lowers its limits. Until the last
-// controller is upgraded, submissions of gangs are answered with "retry later", and
-// everything is stored in the format of the previous version.
+// that the seed chooses. The state service lowers its limits after that, or with one fault
+// during the upgrade. Until the last controller is upgraded, submissions of gangs must be
+// answered with "retry later", and everything must be stored in the format of the previous
+// version.
 func TestRollingUpgrade(t *testing.T) {
 	knownFields := productionFields(t)
 	mixes := map[string]bool{} // the leader's version and the number of other controllers of the previous version
@@ -238,7 +244,7 @@
 				sim.Cloud.Rent("small", zone, false, 16)
 			}
 			submitMixedLoad(sim, 130*second)
-			submitGangs(sim, 130*second) // from the start, so that some are refused until the upgrade is complete
+			submitGangs(sim, 130*second) // from the start, so that some must be retried until the upgrade is complete
 			watchLeaders(sim)
 			watchVersionMixes(sim, func(mix string) {
 				mu.Lock()
@@ -255,10 +261,10 @@
 				sim.upgradeController(controller, at)
 				upgradeTimes = append(upgradeTimes, at)
 				if sim.Rand.IntN(2) == 0 {
-					crash(at-time.Duration(3+sim.Rand.IntN(9))*second, controller) // it restarts with the previous version
+					crash(at-time.Duration(3+sim.Rand.IntN(9))*second, controller) // restarts with the previous version
 				}
 				if sim.Rand.IntN(2) == 0 {
-					crash(at+time.Duration(5+sim.Rand.IntN(5))*second, controller) // it restarts with the present version
+					crash(at+time.Duration(5+sim.Rand.IntN(5))*second, controller) // restarts with the present version
 				}
 			}
 			fault.inject(sim, upgradeTimes)
@@ -300,7 +306,7 @@
 				}
 			}
 			if accepted, done := sim.Checker.CountBatchJobs(); accepted < 10 || done < accepted || gangs < 5 {
-				t.Errorf("got %d of %d accepted jobs and %d gangs done at the end, want at least 10 jobs, all of them done, and at least 5 gangs", done, accepted, gangs)
+				t.Errorf("got %d of %d accepted batch jobs and %d gangs done at the end, want at least 10 batch jobs, all of them done, and at least 5 gangs", done, accepted, gangs)
 			}
 		})
 	}
@@ -315,8 +321,8 @@
 	})
 }
 
-// watchVersionMixes calls seen every 100 ms with a text that says whether the leader runs
-// the previous version and how many other controllers do.
+// watchVersionMixes calls seen every 100 ms, while there is a leader, with a text that says
+// whether the leader runs the previous version and how many other running controllers do.
 func watchVersionMixes(sim *Simulation, seen func(mix string)) {
 	var sample func()
 	sample = func() {
@@ -327,7 +333,7 @@
 					others++
 				}
 			}
-			seen(fmt.Sprintf("leader of the previous version: %v, others of it: %d", leader.runsPreviousVersion, others))
+			seen(fmt.Sprintf("leader of the previous version: %v, other controllers of that version: %d", leader.runsPreviousVersion, others))
 		}
 		sim.After(100*time.Millisecond, sample)
 	}
@@ -335,15 +341,15 @@
 }
 
 // TestRollingUpgradeWithUnreachableController checks that a controller that was upgraded
-// and then can't be reached for minutes doesn't keep gangs waiting. A controller that was
-// downgraded again must keep them waiting, although it had stored the present version
-// before, if a leader of the present version could reach it after the downgrade.
+// and then can't be reached for minutes doesn't keep gangs waiting, since it has stored its
+// version in the state service. If it was downgraded after that, and a leader of the
+// present version could reach it after the downgrade, it must keep gangs waiting.
 func TestRollingUpgradeWithUnreachableController(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		// inject makes the first controller, which is upgraded at 40 s, unreachable for
-		// the others from some time on until 200 s. It also upgrades the second one. The
-		// last controller is upgraded at 80 s.
+		// the others from some time on until 200 s. inject also upgrades the second
+		// controller. The third one is upgraded at 80 s.
 		inject       func(sim *Simulation, controller *Controller)
 		acceptsGangs bool // whether gangs are accepted while the controller can't be reached
 	}{
@@ -377,7 +383,7 @@
 				sim.upgradeController(sim.Controllers[2], 80*second)
 				sim.RunUntil(200 * second)
 				if accepted := watcher.firstGangAcceptedAt != 0 && watcher.firstGangAcceptedAt < 110*second; accepted != tc.acceptsGangs {
-					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0s: not), want a gang accepted before 110 s if and only if the row sets acceptsGangs", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
+					t.Errorf("seed %d: got first gang accepted at %v and cluster version raised at %v (0s: not), want one accepted before 110 s if the case sets acceptsGangs, and none before 110 s otherwise", seed, watcher.firstGangAcceptedAt, watcher.versionRaisedAt)
 				}
 				sim.RunUntil(250 * second)
 				for _, violation := range sim.Checker.Violations {
