--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// Bounds of the platform's settings within which the service works.
+// Bounds of the platform's settings within which the scheduler works.
 const (
 	minMemoryMB           = 24  // an idle process occupies about 20 MB of resident memory
 	minTxnOps             = 2   // a change, and the removal of a key that it makes obsolete
@@ -106,7 +106,7 @@
 }
 
 // checkGangTimes checks the two gang timeouts. They must be given together or not
-// at all; without them, the service refuses jobs that are gangs (tasks that only run
+// at all; without them, the scheduler refuses jobs that are gangs (tasks that only run
 // together).
 func (p *Platform) checkGangTimes() error {
 	workers := &p.Params.Workers
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -86,7 +86,7 @@
 	Kind    string  `json:"kind"`     // "wait" (for tasks to start), "finished" or "deadline"
 	Class   string  `json:"class"`    // jobs name their class in the field "lane"
 	WithinS float64 `json:"within_s"` // time limit of a "wait" or "finished" objective
-	Times   float64 `json:"times"`    // limit of a "deadline" objective, as a multiple of the due time
+	Times   float64 `json:"times"`    // limit of a "deadline" objective: a multiple of the job's due time, both counted from its submission
 }
 
 // Settings is the checked content of both files.
@@ -114,8 +114,8 @@
 	if err := s.Platform.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", platformPath, err)
 	}
-	// The connections of users and workers must not get fewer file descriptors than the
-	// controller's own.
+	// The connections of users and workers must get at least as many file descriptors as
+	// the uses that SocketLimits.Other covers.
 	if limits := s.SocketLimits(); limits.Public < limits.Other {
 		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platformPath, s.Params.Limits.Files, len(s.Peers)+1)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestLoadRejectsInvalidSettings checks that the error for an invalid setting is one
-// line that names the file, the field and the reason.
+// line that contains the expected parts of file name, field and reason.
 func TestLoadRejectsInvalidSettings(t *testing.T) {
 	// In each case, from is replaced by to in validPlatform. If operator is not empty, it is
 	// the content of the operators' file.
@@ -84,15 +84,15 @@
 		}
 		_, err := Load(writeFile(t, "s.json", strings.Replace(validPlatform, c.from, c.to, 1)), operatorPath)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q replaced by %q: got error %v, want one line that contains %q", c.from, c.to, err, c.want)
+			t.Errorf("%q replaced by %q in the platform's file (both empty: only the operators' file is wrong): got error %v, want one line that contains %q", c.from, c.to, err, c.want)
 		}
 	}
 }
 
-// TestSocketLimitsAddUp checks that the parts add up to the file descriptor limit, and
-// that the public part is large enough for all machines of a fleet to connect to one
-// controller. In an earlier version the public part was two thirds of the limit, and
-// 1,785 machines occupied all of it.
+// TestSocketLimitsAddUp checks that the parts add up to fd_limit, and that from an fd_limit
+// of 1000 on, the public part is at least four fifths of it, because all machines of a fleet
+// may connect to one controller. An earlier version gave it two thirds, 1,630 of
+// 2,446 file descriptors, which were too few for 1,785 machines.
 func TestSocketLimitsAddUp(t *testing.T) {
 	for _, files := range []int{100, 500, 1000, 1200, 2446, 3163, 100_000} {
 		for peers := range 5 {
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestWarnings checks that settings whose cancel_s is too short compared with lease_s
-// are accepted, with a warning that names the guarantee that cannot be given.
+// TestWarnings checks that settings whose cancel_s is too short compared with lease_s are
+// accepted, but with a warning about cancel_s. Six fifths of lease_s (24 s here) are enough.
 func TestWarnings(t *testing.T) {
 	for _, c := range []struct {
 		cancel string
@@ -123,7 +123,7 @@
 		}
 		got := s.Warnings()
 		if (len(got) > 0) != c.want || c.want && !strings.HasPrefix(got[0], "facts.workers.cancel_s: "+c.cancel+"s is less than") {
-			t.Errorf("lease_s 20, cancel_s %s: got warnings %q, want one about cancel_s: %v", c.cancel, got, c.want)
+			t.Errorf("lease_s 20, cancel_s %s: got warnings %q, want a warning that begins with the field and the value of cancel_s: %v", c.cancel, got, c.want)
 		}
 	}
 }
--- a/internal/config/core.go
+++ b/internal/config/core.go
@@ -37,8 +37,9 @@
 	return cfg
 }
 
-// Warnings names the guarantees that the service cannot give with these settings: with
-// several controllers, that tasks of a cancelled job are always gone within cancel_s.
+// Warnings names the guarantees that the scheduler cannot give with these settings. There
+// is one such case: with several controllers, a cancel_s that is too short compared with
+// lease_s for the tasks of a cancelled job to be always gone within cancel_s.
 func (s *Settings) Warnings() []string {
 	cfg := s.CoreConfig(0)
 	if bound := cfg.CancelBound(); len(cfg.Peers) > 0 && bound > cfg.CancelWithin {
@@ -48,7 +49,7 @@
 }
 
 // applyNextLimits replaces each limit of the state service by the smaller of its
-// current and its announced later value. The service switches to the later limits
+// current and its announced later value. The state service switches to the later limits
 // without notice, and from then on a value that exceeds them can't be written.
 func (s *Settings) applyNextLimits(cfg *core.Config) {
 	next := &s.Params.State.Next
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,8 +19,10 @@
 
 // DispatchSettings tunes how tasks are assigned to machines.
 type DispatchSettings struct {
-	SkipLimit *int     `hcl:"skip_limit,optional"` // how many tasks of later jobs may go before a waiting job, until it takes any free machine
-	BudgetMS  *float64 `hcl:"budget_ms,optional"`  // time that one dispatch round may take
+	// SkipLimit is how many tasks of later jobs may be placed ahead of a waiting job. After
+	// that, its tasks take any free machine, even without the job's image, or have one reserved.
+	SkipLimit *int     `hcl:"skip_limit,optional"`
+	BudgetMS  *float64 `hcl:"budget_ms,optional"` // time that one dispatch round may take
 }
 
 // StateSettings tunes the writes to the state service.
@@ -30,9 +32,11 @@
 
 // FleetSettings tunes when machines are rented from the cloud and returned to it.
 type FleetSettings struct {
-	IdleBoots     *float64 `hcl:"idle_boots,optional"`     // how long an idle machine is kept, in multiples of its boot time
-	GiveUpBoots   *float64 `hcl:"give_up_boots,optional"`  // time for a rented machine's first report until it is given up, in multiples of its boot time
-	Patience      *float64 `hcl:"patience,optional"`       // share of the time that a job can wait without missing its goal, after which more expensive machines are rented
+	IdleBoots   *float64 `hcl:"idle_boots,optional"`    // how long an idle machine is kept, in multiples of its boot time
+	GiveUpBoots *float64 `hcl:"give_up_boots,optional"` // a rented machine that has not reported after this many of its boot times is given up
+	// Patience is a share of the time that a batch job can wait without missing its goals.
+	// After this share, more expensive machines are rented for the job.
+	Patience      *float64 `hcl:"patience,optional"`
 	SpareServices *int     `hcl:"spare_services,optional"` // service tasks for which capacity is reserved
 	SpareGangs    *int     `hcl:"spare_gangs,optional"`    // gangs for which capacity is reserved
 	MaxMachines   *int     `hcl:"max_machines,optional"`   // maximum number of machines; without it, as many as the cloud offers
