--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,7 @@
 
 const maxResponseBytes = 4 << 20
 
-// wireCommands is the body of a direct command.
+// wireCommands is the body of a direct command. core.AgentCall explains its fields.
 type wireCommands struct {
 	Epoch   uint64        `json:"epoch"`
 	Session uint64        `json:"tenure"`
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -27,7 +27,7 @@
 
 const maxResponseBytes = 4 << 20
 
-// wireRent is the body of a rental request.
+// wireRent is the body of a rental request. core.CloudCall explains its fields.
 type wireRent struct {
 	Request string `json:"hire"`
 	Type    string `json:"flavor"`
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -65,6 +65,6 @@
 	defer srv.Close()
 	client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client(), Timeout: 10 * time.Second}
 	if result := client.Do(context.Background(), core.CloudCall{Op: core.CloudRent, Request: "r-1"}); result.Status != 0 {
-		t.Errorf("truncated response: got status %d, want 0", result.Status)
+		t.Errorf("truncated response: got status %d, want 0 (outcome unknown)", result.Status)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -20,11 +20,13 @@
 	"mulleinfall/internal/direct"
 )
 
-// Limits of a connection, in bytes and messages. A frame is one encoded message. Long ones
-// contain the description of a job (64 KiB, the longest submission) or the task counts of
-// 1,000 jobs (about 20 KiB). Messages beyond maxQueuedMessages for a slow or unreachable
-// peer are dropped: promises (votes for a leader) are requested again within a second,
-// and changes of keys also arrive through the state service.
+// Limits of a link, in bytes and messages. A frame is one encoded message. Long messages
+// contain the description of a job (64 KiB, the longest submission), the task counts of
+// 1,000 jobs (about 20 KiB), or entries for up to 2,000 cancelled jobs or all machines.
+// Messages beyond maxQueuedMessages for a slow or unreachable peer are dropped. That is
+// safe: promises (votes that bind their voter for a limited time) are requested again after
+// at most a quarter of that time (less than a second if lease_s is 20), and changes of keys
+// also arrive through the state service.
 const (
 	maxFrameBytes     = 1 << 20
 	maxQueuedMessages = 256
@@ -58,7 +60,8 @@
 }
 
 // Run sends the queued messages until ctx is cancelled. It connects when there is a
-// message to send. A message whose sending fails is lost; the next one opens a new
+// message to send. If connecting fails, that message and all queued ones are dropped. If
+// writing a message fails, only this message is lost, and the next one opens a new
 // connection.
 func (l *Link) Run(ctx context.Context) {
 	var conn net.Conn
@@ -85,7 +88,7 @@
 			dialer := net.Dialer{Timeout: l.timeout}
 			c, err := dialer.DialContext(ctx, "tcp", l.addr)
 			if err != nil {
-				slog.Debug("peer not reached", "peer", l.addr, "error", err)
+				slog.Debug("peer not reached, queued messages dropped", "peer", l.addr, "error", err)
 				l.dropQueue()
 				continue
 			}
@@ -174,7 +177,7 @@
 		go func() {
 			defer conn.Close()
 			if err := ReadFrames(direct.Wrap(conn), deliver); err != nil {
-				slog.Debug("peer connection ended", "error", err)
+				slog.Debug("peer connection closed after a failed read", "error", err)
 			}
 		}()
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -27,7 +27,8 @@
 const maxResponseBytes = 16 << 20
 
 // wireItem is a key of a list, or a change of a watch, as the state service sends it. The
-// name of the key is in Key in a list, and in Set or Remove in a watch.
+// name of the key is in Key in a list, and in Set or Remove in a watch. ModRevision is the
+// revision of the state service at the last change of the key, or at its removal.
 type wireItem struct {
 	Key         string          `json:"k"`
 	Value       json.RawMessage `json:"value"`
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -82,6 +82,6 @@
 	defer srv.Close()
 	client := &Client{Addr: strings.TrimPrefix(srv.URL, "http://"), HTTP: srv.Client()}
 	if result := client.Do(context.Background(), core.StoreCall{Op: core.StoreTxn, Timeout: 10 * time.Second}); result.Status != 0 {
-		t.Errorf("truncated response: got status %d, want 0", result.Status)
+		t.Errorf("truncated response: got status %d, want 0 (outcome unknown)", result.Status)
 	}
 }
