--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,10 +32,11 @@
 		Workers    struct {
 			ReportS float64 `json:"report_s"` // interval of a worker's reports
 			LeaseS  float64 `json:"lease_s"`  // duration of a worker's lease
-			CancelS float64 `json:"cancel_s"` // time within which the tasks of a cancelled job must be gone
-			// GangWaitS is how long a task of a gang waits for the others to be ready.
-			// GangPeerS is how soon a running task of a gang notices that another one is
-			// gone. Both are 0 if they are not given; gangs are refused then.
+			CancelS float64 `json:"cancel_s"` // time from the confirmation of a cancellation until the job's tasks must be gone
+			// GangWaitS is how long a task of a gang (a job whose tasks only run together)
+			// waits for the others to be ready. GangPeerS is how soon a running task of a
+			// gang notices that another one is gone. Both are 0 if they are not given;
+			// gangs are refused then.
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -91,8 +91,8 @@
 
 // TestSocketLimitsAddUp checks that the parts add up to fd_limit, and that from an fd_limit
 // of 1000 on, the public part is at least four fifths of it, because all machines of a fleet
-// may connect to one controller. An earlier version gave it two thirds, 1,630 of
-// 2,446 file descriptors, which were too few for 1,785 machines.
+// may connect to one controller. An earlier version gave it two thirds, 1,630 of 2,446 file
+// descriptors, which were too few for 1,785 machines.
 func TestSocketLimitsAddUp(t *testing.T) {
 	for _, files := range []int{100, 500, 1000, 1200, 2446, 3163, 100_000} {
 		for peers := range 5 {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -27,7 +27,7 @@
 
 // StateSettings tunes the writes to the state service.
 type StateSettings struct {
-	WriteEveryS *float64 `hcl:"write_every_s,optional"` // minimum time between two writes of the same part of a job's bitmap of finished tasks
+	WriteEveryS *float64 `hcl:"write_every_s,optional"` // minimum time between two writes of the same chunk of a job's bitmap of finished tasks
 }
 
 // FleetSettings tunes when machines are rented from the cloud and returned to it.
