--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,10 +32,11 @@
 		Workers    struct {
 			ReportS float64 `json:"report_s"` // interval of a worker's reports
 			LeaseS  float64 `json:"lease_s"`  // duration of a worker's lease
-			CancelS float64 `json:"cancel_s"` // time within which the tasks of a cancelled job must be gone
-			// GangWaitS is how long a task of a gang waits for the others to be ready.
-			// GangPeerS is how soon a running task of a gang notices that another one is
-			// gone. Both are 0 if they are not given; gangs are refused then.
+			CancelS float64 `json:"cancel_s"` // time from the confirmation of a cancellation until the job's tasks must be gone
+			// GangWaitS is how long a task of a gang (a job whose tasks only run together)
+			// waits for the others to be ready. GangPeerS is how soon a running task of a
+			// gang notices that another one is gone. Both are 0 if they are not given;
+			// gangs are refused then.
 			GangWaitS float64 `json:"gang_wait_s"`
 			GangPeerS float64 `json:"gang_peer_s"`
 		} `json:"workers"`
@@ -86,7 +87,7 @@
 	Kind    string  `json:"kind"`     // "wait" (for tasks to start), "finished" or "deadline"
 	Class   string  `json:"class"`    // jobs name their class in the field "lane"
 	WithinS float64 `json:"within_s"` // time limit of a "wait" or "finished" objective
-	Times   float64 `json:"times"`    // limit of a "deadline" objective, as a multiple of the due time
+	Times   float64 `json:"times"`    // limit of a "deadline" objective: a multiple of the job's due time, both counted from its submission
 }
 
 // Settings is the checked content of both files.
@@ -114,8 +115,8 @@
 	if err := s.Platform.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", platformPath, err)
 	}
-	// The connections of users and workers must not get fewer file descriptors than the
-	// controller's own.
+	// The connections of users and workers must get at least as many file descriptors as
+	// the uses that SocketLimits.Other covers.
 	if limits := s.SocketLimits(); limits.Public < limits.Other {
 		return nil, fmt.Errorf("%s: facts.quota.fd_limit: %d is too few for %d controllers", platformPath, s.Params.Limits.Files, len(s.Peers)+1)
 	}
