--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -139,7 +139,7 @@
 // runsBeyond reports whether t is a batch task that saves no checkpoints and will run
 // beyond the time at, even if it takes only three quarters of the expected time. If it
 // isn't running yet, it counts as running beyond at once the worker has reported it.
-func (s *State) runsBeyond(t *task, at time.Duration) bool {
+func (s *State) runsBeyond(t *task, deadline time.Duration) bool {
 	if t.job.Kind != model.KindBatch || t.job.CheckpointEveryS > 0 {
 		return false
 	}
@@ -147,5 +147,5 @@
 		return t.state != ""
 	}
 	expected, _ := t.job.expectedRunTime()
-	return t.runningSince+expected*3/4 > at
+	return t.runningSince+expected*3/4 > deadline
 }
