--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,7 +23,8 @@
 	}, 0)
 }
 
-// newLeadership makes s, which has no peers, the leader of term 4 for the next hour.
+// newLeadership puts s, which has no peers, into term 4 and returns a leadership of that
+// term for the next hour. The test assigns it to s.
 func newLeadership(s *State) *election.Leadership {
 	s.term, s.termModRevision, s.electedAt = 4, 4, 1
 	leadership := election.NewLeadership(s.electionConfig, 0, 4, 0)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -33,7 +33,8 @@
 	return false
 }
 
-// isSchedulable reports whether tasks of j may start now.
+// isSchedulable reports whether tasks of j may start now, as far as j's pause after errors
+// and an unfinished takeover are concerned.
 func (s *State) isSchedulable(j *job) bool {
 	if s.now < j.retryAt {
 		return false
@@ -64,8 +65,8 @@
 	if len(queue) > 0 {
 		s.runRound(queue, env)
 	}
-	// A round that took long is followed by at least as much time without one, so
-	// that reports and renewals don't starve.
+	// A round that took long is followed by at least as much time without one, which
+	// leaves time to process reports and to renew the leadership.
 	s.nextRoundAt = s.now + env.elapsed() + max(s.cfg.ReportInterval/roundsPerReport, env.elapsed())
 	s.answerReports()
 	for _, m := range env.changedMachines {
@@ -81,8 +82,9 @@
 // roundsPerReport limits the dispatch rounds in a worker's report interval.
 const roundsPerReport = 24
 
-// runRound runs the dispatch rule for the jobs in queue, after preemptForHits. Then it
-// preempts other work and drains machines for the jobs that still wait.
+// runRound runs the dispatch rule for the jobs in queue, after preemptForHits has made
+// capacity on machines that have the image of prod work (hits). Then it preempts other work and
+// drains machines for the jobs that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
@@ -98,8 +100,8 @@
 		}
 	}
 	s.viewBuffer = env.views
-	// A task in a local queue doesn't count in the global queue. Entries in local queues
-	// are dropped if their job has no waiting task for them.
+	// A task in a local queue waits for one machine and doesn't count in the global queue.
+	// Entries in local queues are dropped if their job has no waiting task for them.
 	for _, v := range env.views {
 		if len(v.LocalQueue) == 0 {
 			continue
@@ -113,7 +115,7 @@
 		}
 		v.LocalQueue = kept
 	}
-	heldBack := s.preemptForHits(queue, env)
+	heldBack := s.preemptForHits(queue, env) // how many tasks wait for that capacity, by job
 	complete := s.dispatcher.RunRound(s.now, entries, env.views, env)
 	for j, n := range heldBack {
 		j.queueEntry.Waiting += n
@@ -136,6 +138,8 @@
 // those of the same rank by arrival.
 func (s *State) buildQueue() []*job {
 	if !s.takeoverComplete {
+		// The list includes the machines of unreachable zones, which the number
+		// unaccountedMachines leaves out.
 		s.unaccountedFor = s.unaccountedFor[:0]
 		for _, m := range s.machinesByName {
 			if s.isUnaccounted(m) {
@@ -191,18 +195,19 @@
 	if j.Kind != model.KindBatch || j.CheckpointEveryS > 0 || s.cfg.Goals[j.Class] == (Goal{}) {
 		return false
 	}
-	// Run times often exceed the estimate.
+	// Half a run and a full one take 1.5 times the estimate. The factor is larger because
+	// run times often exceed the estimate.
 	return s.jobAge(j)+time.Duration(2.5*j.EstimateS*float64(time.Second)) > s.completionTarget(j)
 }
 
 // maxFirstStartDelay is the time within which the first task of every job must have
-// started, as the operators' addition to PROTOCOL demands.
+// started. The operators demand this in an addition to their specification PROTOCOL.
 const maxFirstStartDelay = 4 * time.Minute
 
 // isStarved reports whether j has waited for a third of maxFirstStartDelay and none of
 // its tasks has a machine or is done. One task of it then goes ahead of everything else.
 // Otherwise a class would never be served while there is more urgent work than the
-// machines can take. Gangs don't count.
+// machines can take. It is always false for gangs.
 func (s *State) isStarved(j *job) bool {
 	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -51,8 +51,9 @@
 	return draining
 }
 
-// canDrainFor reports whether a machine may be drained for j: not for a gang, for which
-// the dispatch rule reserves machines, and not for prod work, which preempts other work.
+// canDrainFor reports whether a machine may be drained for j. Its tasks must still wait,
+// and its team's limit must allow one more. Gangs are left out because the dispatch rule
+// reserves machines for them, and prod work because it preempts other work.
 func (s *State) canDrainFor(j *job) bool {
 	return j.queueEntry.Waiting > 0 && j.rank != model.PriorityRank(model.PriorityProd) && j.Kind != model.KindGang && s.isWithinLimit(j, 1)
 }
--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// recentGang is the gang with the most tasks of a class that was recently seen.
+// recentGang is the gang with the most tasks among the recently seen gangs of a class.
 type recentGang struct {
 	job    *job
 	seenAt time.Duration
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// stopJob stops the tasks of a final job and removes it from all local queues.
+// stopJob stops the tasks of a final job. Its waiting tasks leave the local queues, in
+// each of which tasks wait for one machine.
 func (s *State) stopJob(j *job) {
 	for _, t := range j.tasks {
 		s.stopTask(t, 0)
--- a/internal/core/tasks.go
+++ b/internal/core/tasks.go
@@ -7,21 +7,20 @@
 	"mulleinfall/internal/model"
 )
 
-// Tasks: a task is bound to a machine before it is started, and unbound once it
-// certainly no longer runs there. Start and stop orders reach the worker in the answer to
-// its report or, sooner, by a direct command.
+// A task is bound to a machine before it is started. Start and stop orders reach the
+// worker in the answer to its report or, sooner, by a direct command.
 
 // task is a task that is bound to a machine: it runs there, or it may. It is unbound
-// only when the machine reports that the attempt has ended or never started, when the
-// machine's lease has certainly expired, or when the cloud has confirmed that the
-// machine is gone.
+// only when the machine's reports show that the attempt has ended, never started or is no
+// longer listed, when the machine's lease has certainly expired (a report of a new session
+// shows this as well), or when the cloud has confirmed that the machine is gone.
 type task struct {
 	job     *job
 	index   int
 	name    string
 	attempt uint64 // number of this start of the task, or of the gang of which it is a part
 	machine *machine
-	session uint64 // session of the worker when the task was bound
+	session uint64 // session of the worker when the task was bound, or since handleRestart
 	zone    string // zone of the machine when the task was bound
 
 	startSent             bool   // a start order has been sent
@@ -59,7 +58,8 @@
 	t.machine.viewStale = true
 }
 
-// unbind removes a task from its machine. If it isn't done, it is requeued.
+// unbind removes a task from its machine. The task is requeued unless why is CauseDone or
+// its job is final. why is the cause from the worker's report, or a text for the log.
 func (s *State) unbind(t *task, why string) {
 	s.removeFromTables(t)
 	s.dropUnusedFetch(t)
@@ -137,8 +137,9 @@
 }
 
 // runsBeyond reports whether t is a batch task that saves no checkpoints and will run
-// beyond the time at, even if it takes only three quarters of the expected time. If it
-// isn't running yet, it counts as running beyond at once the worker has reported it.
+// beyond the deadline, even if it takes only three quarters of the expected time. A task
+// that the worker has reported, but not as running, counts as running beyond the deadline;
+// a task that was never reported does not.
 func (s *State) runsBeyond(t *task, deadline time.Duration) bool {
 	if t.job.Kind != model.KindBatch || t.job.CheckpointEveryS > 0 {
 		return false
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -69,7 +69,8 @@
 // updateIsolation updates and returns whether this controller is isolated. It becomes
 // isolated when it has reached neither the state service nor another controller for two
 // store contact timeouts, so that users are better served elsewhere. It remains isolated
-// until it has reached the state service for one such timeout again.
+// until it has reached the state service for one such timeout without interruption. A
+// controller without peers is never isolated.
 func (s *State) updateIsolation() bool {
 	timeout := s.storeContactTimeout()
 	if s.sinceStoreContact() <= timeout {
--- a/internal/sched/dispatcher.go
+++ b/internal/sched/dispatcher.go
@@ -177,11 +177,11 @@
 	return true
 }
 
-// handleNoMachine is called if no machine on which j is allowed has capacity for it. If
-// j is at its skip limit and the round found capacity for other tasks, a machine is
-// reserved for j. The task doesn't join the local queue of a machine that has its
-// image: no machine is free, so there is no fetch time to compare the wait with. A task
-// that joined one would stay bound to that machine until the estimated wait is over,
+// handleNoMachine is called if no unreserved machine on which j is allowed has capacity
+// for it. If j is at its skip limit and the round found capacity for other tasks, a
+// machine is reserved for j. The task doesn't join the local queue of a machine that has
+// its image: no machine is free, so there is no fetch time to compare the wait with. In
+// such a queue, the task would wait for that machine until the estimated wait is over,
 // even if another machine became free sooner.
 func (d *Dispatcher) handleNoMachine(now time.Duration, j *Job, machines, withCapacity []*Machine, env Env) {
 	if j.Skips >= d.cfg.SkipLimit && !j.reservationTried && len(withCapacity) > 0 {
--- a/internal/sched/machine_order.go
+++ b/internal/sched/machine_order.go
@@ -8,8 +8,8 @@
 // Preference among machines on which a job's task would start equally soon.
 
 // isBetter reports whether a is preferred to b for a task of j that would start
-// equally soon on both. Work that would miss its goal by a restart goes to
-// machines that the cloud doesn't reclaim, and leaves spot machines to other work.
+// equally soon on both. Tasks that would miss their goal if they had to restart go
+// to machines that the cloud doesn't reclaim, and leave spot machines to other work.
 // Otherwise work is packed on the machines in the lowest class of price per CPU, then
 // on those that services keep in use anyway, then on the fullest, so that the other
 // machines become empty and can be returned.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -15,7 +15,7 @@
 // job are alike, so they share one entry in the global queue.
 type Job struct {
 	ID                string
-	Rank              int    // 0 is the most urgent
+	Rank              int    // the smaller, the more urgent
 	Arrival           uint64 // grows in the order in which jobs were accepted
 	Need              Resources
 	Image             string
