--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -83,8 +83,8 @@
 const roundsPerReport = 24
 
 // runRound runs the dispatch rule for the jobs in queue, after preemptForHits has made
-// capacity on machines that have the image of prod work (hits). Then it preempts other work and
-// drains machines for the jobs that still wait.
+// capacity on machines that have the image of prod work (hits). Then it preempts other
+// work and drains machines for the jobs that still wait.
 func (s *State) runRound(queue []*job, env *roundEnv) {
 	entries := make([]*sched.Job, len(queue))
 	for i, j := range queue {
@@ -115,7 +115,7 @@
 		}
 		v.LocalQueue = kept
 	}
-	heldBack := s.preemptForHits(queue, env) // how many tasks wait for that capacity, by job
+	heldBack := s.preemptForHits(queue, env) // tasks that wait for capacity made by preemption, by job
 	complete := s.dispatcher.RunRound(s.now, entries, env.views, env)
 	for j, n := range heldBack {
 		j.queueEntry.Waiting += n
@@ -207,7 +207,7 @@
 // isStarved reports whether j has waited for a third of maxFirstStartDelay and none of
 // its tasks has a machine or is done. One task of it then goes ahead of everything else.
 // Otherwise a class would never be served while there is more urgent work than the
-// machines can take. It is always false for gangs.
+// machines can take. The result is always false for gangs.
 func (s *State) isStarved(j *job) bool {
 	return len(j.tasks) == 0 && j.doneCount == 0 && j.Kind != model.KindGang && s.jobAge(j) > maxFirstStartDelay/3
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -64,9 +64,9 @@
 // preemptForHits makes capacity for prod work on machines that have its image (hits) if
 // fetching the image would take longer than the start goal of its class allows. The
 // dispatch rule compares the wait for a machine that has the image with a fetch
-// elsewhere, but doesn't know that preemption makes that wait short. Tasks that
-// wait for capacity made by preemption, in this round or an earlier one, are therefore
-// taken off Waiting for the dispatch rule. The result is how many of each job.
+// elsewhere, but doesn't know that preemption makes that wait short. Tasks that wait for
+// capacity made by preemption, in this round or an earlier one, are therefore taken off
+// Waiting, so that the dispatch rule leaves them. The result is how many of each job.
 func (s *State) preemptForHits(queue []*job, env *roundEnv) map[*job]int {
 	heldBack := map[*job]int{}
 	var usage map[string]sched.Resources
