--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -29,12 +29,12 @@
 	steppedDownUnreached bool
 	leadershipExpiredAt  time.Duration // when its right to act last expired; 0: never
 
-	electedAt       time.Duration      // when leadership was won; 0: none, or still a campaign
-	electedRevision uint64             // revision at which it was won
-	previousTerm    uint64             // last term that was won when the campaign began
-	transfer        leadershipTransfer // received from a leader whose term has ended
-	firstTerm       bool               // no controller has led, and so rented machines, before this term
-	caughtUp        bool               // the replica includes all changes before the election
+	electedAt       time.Duration // when leadership was won; 0: none, or still a campaign
+	electedRevision uint64        // revision at which it was won
+	previousTerm    uint64        // last term that was won when the campaign began
+	replyAges       replyAges     // received from a leader whose term has ended
+	firstTerm       bool          // no controller has led, and so rented machines, before this term
+	caughtUp        bool          // the replica includes all changes before the election
 }
 
 // IsLeader reports whether this controller may act as leader now.
@@ -97,7 +97,7 @@
 		incarnation = 0
 	}
 	if s.caughtUp {
-		s.sendTransferMessage(term)
+		s.sendReplyAges(term)
 	}
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgRelease, Term: term, Ask: incarnation}})
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -18,18 +18,18 @@
 
 // Kinds of messages between controllers.
 const (
-	MsgRestarted          = "hello"      // a new process asks for release from its forgotten promises
-	MsgPromisesReleased   = "free"       // answer to MsgRestarted: the sender relies on none of these promises
-	MsgVoteRequest        = "claim"      // a candidate or leader asks for a promise of support
-	MsgPromise            = "promise"    // answer to MsgVoteRequest: a promise or a refusal
-	MsgRelease            = "release"    // the sender no longer relies on promises for terms up to Term
-	MsgChange             = "nudge"      // a change that the sender has made durable
-	MsgRunningCounts      = "counts"     // number of running tasks per job, for replies to users
-	MsgCancelled          = "cancelled"  // cancellations that the receiver may not know of
-	MsgCancelledAck       = "known"      // a leader's acknowledgement of cancellations
-	MsgLeadershipTransfer = "unanswered" // machines without a recent reply when the sender's term ended
-	MsgForward            = "ask"        // a user's request, from a sender that lost the state service
-	MsgForwardReply       = "answer"     // answer to MsgForward: the reply for the user
+	MsgRestarted        = "hello"      // a new process asks for release from its forgotten promises
+	MsgPromisesReleased = "free"       // answer to MsgRestarted: the sender relies on none of these promises
+	MsgVoteRequest      = "claim"      // a candidate or leader asks for a promise of support
+	MsgPromise          = "promise"    // answer to MsgVoteRequest: a promise or a refusal
+	MsgRelease          = "release"    // the sender no longer relies on promises for terms up to Term
+	MsgChange           = "nudge"      // a change that the sender has made durable
+	MsgRunningCounts    = "counts"     // number of running tasks per job, for replies to users
+	MsgCancelled        = "cancelled"  // cancellations that the receiver may not know of
+	MsgCancelledAck     = "known"      // a leader's acknowledgement of cancellations
+	MsgReplyAges        = "unanswered" // machines without a recent reply when the sender's term ended
+	MsgForward          = "ask"        // a user's request, from a sender that lost the state service
+	MsgForwardReply     = "answer"     // answer to MsgForward: the reply for the user
 )
 
 // PeerMsg is a message between controllers. Where the meaning of a field depends on
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -49,8 +49,8 @@
 		s.learnCancellations(from, message.Counts)
 	case MsgCancelledAck:
 		s.handleAcknowledgement(message)
-	case MsgLeadershipTransfer:
-		s.handleTransfer(message)
+	case MsgReplyAges:
+		s.handleReplyAges(message)
 	case MsgChange:
 		s.apply(Item{Key: message.Key, Value: message.Value, ModRevision: message.Stamp})
 	case MsgRunningCounts:
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -295,11 +295,11 @@
 
 // latestPossibleReplyAt returns the latest time at which a former leader may have
 // replied to m. That is the election of this leader, or earlier if the previous leader's
-// transfer message says so (transfer.go) or m has an unresponsive mark.
+// transfer message says so (reply_ages.go) or m has an unresponsive mark.
 func (s *State) latestPossibleReplyAt(m *machine) time.Duration {
 	latest := s.electedAt
-	if transferredAt, ok := s.transferredReplyAt(m); ok {
-		latest = min(latest, transferredAt)
+	if reportedAt, ok := s.reportedReplyAt(m); ok {
+		latest = min(latest, reportedAt)
 	}
 	if m.storedUnresponsiveSince != 0 && s.cfg.MaxClockSkew > 0 {
 		// The wall clocks of both leaders may be off by MaxClockSkew.
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -51,7 +51,7 @@
 	// is no such key.
 	leaderName         string
 	leaderTerm         uint64
-	leaderLease        uint64
+	leaderLeaseID      uint64
 	leaderModRevision  uint64
 	leaderKeyChangedAt time.Duration // when the leader key was last seen to change or be removed
 
@@ -99,7 +99,7 @@
 func (s *State) load() {
 	s.loading = true
 	var firstRevision uint64
-	first, sentAt := true, s.now
+	onFirstPage, sentAt := true, s.now
 	seen := map[string]bool{}
 	var loadPage func(startAfter string)
 	loadPage = func(startAfter string) {
@@ -109,12 +109,12 @@
 				s.nextWatchAt = s.now + 300*time.Millisecond
 				return
 			}
-			if first {
+			if onFirstPage {
 				// The watch brings the changes after the revision of the first
 				// page. That may be 0, the revision of an empty store, so first
 				// tells whether it is known: the revision of a later page would
 				// make the watch miss changes.
-				first, firstRevision = false, result.Revision
+				onFirstPage, firstRevision = false, result.Revision
 			}
 			for _, item := range result.Items {
 				seen[item.Key] = true
@@ -135,7 +135,7 @@
 			s.revision = max(s.revision, firstRevision)
 			s.recordCompleteRead(sentAt)
 			s.voter.LimitPreviousReadLease(s.term)
-			s.releasePreviousIncarnation()
+			s.releaseEarlierLeadership()
 			s.log(slog.LevelInfo, "state loaded", "rev", s.revision, "jobs", len(s.jobs), "machines", len(s.machines))
 		})
 	}
@@ -269,12 +269,12 @@
 		}
 		s.stepDownIfSuperseded()
 	case item.Key == keyLeader:
-		s.leaderName, s.leaderTerm, s.leaderLease, s.leaderModRevision = "", 0, 0, 0
+		s.leaderName, s.leaderTerm, s.leaderLeaseID, s.leaderModRevision = "", 0, 0, 0
 		s.leaderKeyChangedAt = s.now
 		if !item.Removed {
 			var value leaderValue
 			if json.Unmarshal(item.Value, &value) == nil {
-				s.leaderName, s.leaderTerm, s.leaderLease, s.leaderModRevision = value.Controller, value.Term, value.Lease, item.ModRevision
+				s.leaderName, s.leaderTerm, s.leaderLeaseID, s.leaderModRevision = value.Controller, value.Term, value.Lease, item.ModRevision
 			}
 		}
 	case item.Key == keyClusterVersion:
--- a/internal/core/transfer.go
+++ b/internal/core/reply_ages.go
@@ -9,16 +9,16 @@
 // machines as unresponsive in the registry, their services would then stay down for a
 // further lease.
 
-// leadershipTransfer is the content of the message that a leader sent when its term ended.
-type leadershipTransfer struct {
+// replyAges is the content of the message that a leader sent when its term ended.
+type replyAges struct {
 	term         uint64
 	receivedAt   time.Duration  // when the message arrived, which is after it was sent
 	sinceReplyMs map[string]int // by machine: milliseconds from the last reply to it until the message
 }
 
-// sendTransferMessage sends the peers this message. The caller has ended this controller's
+// sendReplyAges sends the peers this message. The caller has ended this controller's
 // leadership of term for good.
-func (s *State) sendTransferMessage(term uint64) {
+func (s *State) sendReplyAges(term uint64) {
 	sinceReplyMs := map[string]int{}
 	for _, m := range s.machinesByName {
 		if sinceReply := s.now - m.lastReplyAt; m.registered && sinceReply > s.cfg.ReportInterval {
@@ -29,19 +29,19 @@
 		return
 	}
 	for _, p := range s.cfg.Peers {
-		s.emit(PeerOut{p, PeerMsg{Kind: MsgLeadershipTransfer, Term: term, Counts: sinceReplyMs}})
+		s.emit(PeerOut{p, PeerMsg{Kind: MsgReplyAges, Term: term, Counts: sinceReplyMs}})
 	}
 }
 
-// handleTransfer applies a former leader's message. It may arrive before or after this
+// handleReplyAges applies a former leader's message. It may arrive before or after this
 // controller's own election. Machines that have reported to this controller don't need it.
-func (s *State) handleTransfer(message PeerMsg) {
-	if message.Term <= s.transfer.term {
+func (s *State) handleReplyAges(message PeerMsg) {
+	if message.Term <= s.replyAges.term {
 		// The message is of an earlier term, or a late copy. The times in a copy
 		// would count from the arrival of the copy and so be too late.
 		return
 	}
-	s.transfer = leadershipTransfer{message.Term, s.now, message.Counts}
+	s.replyAges = replyAges{message.Term, s.now, message.Counts}
 	if !s.IsLeader() {
 		return
 	}
@@ -52,10 +52,10 @@
 	}
 }
 
-// transferredReplyAt returns the latest time at which the previous leader can have replied
+// reportedReplyAt returns the latest time at which the previous leader can have replied
 // to m, if its message says that. The message of an earlier leader does not count: the
 // leaders in between may have replied to m since.
-func (s *State) transferredReplyAt(m *machine) (time.Duration, bool) {
-	ms, ok := s.transfer.sinceReplyMs[m.host]
-	return s.transfer.receivedAt - time.Duration(ms)*time.Millisecond, ok && s.transfer.term == s.previousTerm
+func (s *State) reportedReplyAt(m *machine) (time.Duration, bool) {
+	ms, ok := s.replyAges.sinceReplyMs[m.host]
+	return s.replyAges.receivedAt - time.Duration(ms)*time.Millisecond, ok && s.replyAges.term == s.previousTerm
 }
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -53,16 +53,16 @@
 	}
 }
 
-// releasePreviousIncarnation ends what is left of a leadership that this controller had
+// releaseEarlierLeadership ends what is left of a leadership that this controller had
 // before it restarted: the leader key, and the promises that support that leader. No
 // process acts on them any more. If the other controllers waited until key and promises
 // expire, the workers would lose their leases.
-func (s *State) releasePreviousIncarnation() {
+func (s *State) releaseEarlierLeadership() {
 	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
 	}
-	if s.leaderLease != 0 {
-		s.callStore(StoreCall{Op: StoreRevoke, Lease: s.leaderLease}, func(StoreResult) {})
+	if s.leaderLeaseID != 0 {
+		s.callStore(StoreCall{Op: StoreRevoke, Lease: s.leaderLeaseID}, func(StoreResult) {})
 	}
 	for _, p := range s.cfg.Peers {
 		s.emit(PeerOut{p, PeerMsg{Kind: MsgRelease, Term: s.leaderTerm}})
--- a/internal/core/version_test.go
+++ b/internal/core/version_test.go
@@ -203,8 +203,8 @@
 	if j := s.jobs["req-000009"]; j == nil || j.phase != model.PhaseAborted {
 		t.Errorf("req-000009: got %+v, want a cancelled job", j)
 	}
-	if s.term != 3 || s.leaderName != "n0" || s.leaderLease != 3 || len(s.typeList) != 1 || s.types["small"].CacheGB != 20 {
-		t.Errorf("got term %d, leader %s with lease %d, %d types, want term 3, leader n0 with lease 3, 1 type with 20 GB of cache", s.term, s.leaderName, s.leaderLease, len(s.typeList))
+	if s.term != 3 || s.leaderName != "n0" || s.leaderLeaseID != 3 || len(s.typeList) != 1 || s.types["small"].CacheGB != 20 {
+		t.Errorf("got term %d, leader %s with lease %d, %d types, want term 3, leader n0 with lease 3, 1 type with 20 GB of cache", s.term, s.leaderName, s.leaderLeaseID, len(s.typeList))
 	}
 	for _, m := range s.machines {
 		if !m.registered || m.endpoint != "w"+m.host || m.typeName != "small" || m.page != 1 {
