--- a/internal/core/campaign.go
+++ b/internal/core/campaign.go
@@ -42,9 +42,10 @@
 		return
 	}
 	if s.leadershipExpiredAt != 0 && s.now-s.leadershipExpiredAt < s.cfg.Lease && s.now-s.leaderKeyChangedAt < s.electionConfig.PromiseDuration/2 {
-		// This controller could not renew its last leadership in time, so the
-		// other controllers go first for half a promise duration. Otherwise two
-		// slow controllers can take turns as leader while a third would work well.
+		// This controller could not renew its last leadership in time, less than a
+		// lease ago. So the other controllers go first for half a promise duration
+		// after the leader key was removed. Otherwise two slow controllers can take
+		// turns as leader while a third would work well.
 		return
 	}
 	term := max(s.term, s.voter.HighestTerm())
--- a/internal/core/lead.go
+++ b/internal/core/lead.go
@@ -31,22 +31,24 @@
 
 	electedAt       time.Duration // when leadership was won; 0: none, or still a campaign
 	electedRevision uint64        // revision at which it was won
-	previousTerm    uint64        // last term that was won when the campaign began
-	replyAges       replyAges     // received from a leader whose term has ended
-	firstTerm       bool          // no controller has led, and so rented machines, before this term
-	caughtUp        bool          // the replica includes all changes before the election
+	previousTerm    uint64        // last term that was won before the campaign began
+	replyAges       replyAges     // last such message from a leader whose term has ended
+	firstTerm       bool          // no controller has led before this term, so none can have rented machines
+	caughtUp        bool          // the replica (this controller's copy of the state) includes all changes before the election
 }
 
-// IsLeader reports whether this controller may act as leader now.
+// IsLeader reports whether this controller may act as leader now. Like Leadership.CanAct,
+// the call ends an expired leadership for good.
 func (s *State) IsLeader() bool {
 	return s.leadership != nil && s.caughtUp && s.leadership.CanAct(s.now)
 }
 
 // Epochs (which order a leader's commands to a machine, see commands.go), attempts to run
 // a task, and rental requests are identified by the term and a counter, so that none is
-// used twice. In epochs and attempts the term is shifted left by these numbers of bits,
-// and the counter is in the low bits. All stay below 2^53, so that they are exact as
-// numbers in JSON.
+// used twice. In epochs and attempts, which are numbers, the term is shifted left by
+// fenceBits or attemptBits, and the counter is in the low bits. The counter of an epoch is
+// called the fence: raising it fences off earlier commands. Both numbers must stay below
+// 2^53 to be exact in JSON, which holds for terms below 2^29.
 const (
 	fenceBits   = 20
 	attemptBits = 24
@@ -121,7 +123,10 @@
 	s.fleetState = fleetState{}
 }
 
-// currentLeader returns the name of the leader as far as this controller knows, or "".
+// currentLeader returns the controller to which workers should report, or "" if this
+// controller knows none. That is this controller once it has won an election; else the
+// controller that its voter's promise supports, which may still be a candidate; else the
+// one in the leader key, unless that still names this controller.
 func (s *State) currentLeader() string {
 	if s.leadership != nil && s.electedAt != 0 {
 		return s.cfg.Self
@@ -136,7 +141,7 @@
 }
 
 // IsLeaderAt reports whether this controller may act as leader at now. Unlike IsLeader
-// it changes nothing, so that a test can call it without ending an expired leadership.
+// it does not end an expired leadership, so a test can call it without changing the State.
 func (s *State) IsLeaderAt(now time.Duration) bool {
 	return s.leadership != nil && s.caughtUp && s.electedAt != 0 && now < s.leadership.ValidUntil()
 }
--- a/internal/core/peermsg.go
+++ b/internal/core/peermsg.go
@@ -27,7 +27,7 @@
 	MsgRunningCounts    = "counts"     // number of running tasks per job, for replies to users
 	MsgCancelled        = "cancelled"  // cancellations that the receiver may not know of
 	MsgCancelledAck     = "known"      // a leader's acknowledgement of cancellations
-	MsgReplyAges        = "unanswered" // machines without a recent reply when the sender's term ended
+	MsgReplyAges        = "unanswered" // how long ago the sender, whose term has ended, last replied to machines
 	MsgForward          = "ask"        // a user's request, from a sender that lost the state service
 	MsgForwardReply     = "answer"     // answer to MsgForward: the reply for the user
 )
@@ -54,9 +54,10 @@
 	// Stamp is the modification revision of Key (MsgChange) or of the term key
 	// (MsgVoteRequest).
 	Stamp uint64 `msgpack:"st,omitempty"`
-	// Counts holds numbers of running tasks by job (MsgRunningCounts), milliseconds since
-	// the last reply by machine (MsgLeadershipTransfer), or modification revisions of
-	// cancellations by job (MsgCancelled, MsgCancelledAck, and MsgPromise with a read lease).
+	// Counts holds for each job the number of its running tasks (MsgRunningCounts), for
+	// each machine the milliseconds since the sender last replied to it (MsgReplyAges), or
+	// for each job the modification revision of its cancellation (MsgCancelled,
+	// MsgCancelledAck, and MsgPromise with a read lease).
 	Counts map[string]int `msgpack:"c,omitempty"`
 	// Ask identifies a forwarded request and is returned in the answer. In vote requests
 	// and announcements of a restart it is the incarnation of the sender
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,7 +15,7 @@
 	// had lost the state service.
 	refusedForStoreAt time.Duration
 
-	refusedTerm         uint64 // last of this controller's campaigns for which it refused a promise
+	refusedTerm         uint64 // term of this controller's last campaign for which it refused a promise
 	highestTerm         uint64 // highest term that it knows of, as it last said
 	version             int    // newest version that it knows, as it last said or stored
 	versionStored       bool   // its version is stored in the state service
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -70,7 +70,7 @@
 		m.storedPage, m.registered, m.preexisting = pageNumber, true, record.Preexisting
 		m.storedUnresponsiveSince, m.readUnresponsiveSince = record.UnresponsiveSinceMs, record.UnresponsiveSinceMs
 		if !s.caughtUp || m.page == 0 {
-			m.page = pageNumber // otherwise the leader's choice stays: it may be moving the machine
+			m.page = pageNumber // otherwise the planned page stays: the leader may be moving the machine
 		}
 		s.describeMachine(m, record.Endpoint, record.Type, record.Zone, record.Spot)
 	}
@@ -145,7 +145,7 @@
 	s.nextPageWriteAt = s.now + s.cfg.ReportInterval/12
 	s.markUnresponsiveMachines()
 	for _, page := range s.pages {
-		page.bytes = 2
+		page.bytes = 2 // the size of an empty JSON object
 	}
 	for _, m := range s.machinesByName {
 		if m.page > 0 {
@@ -294,8 +294,8 @@
 }
 
 // latestPossibleReplyAt returns the latest time at which a former leader may have
-// replied to m. That is the election of this leader, or earlier if the previous leader's
-// transfer message says so (reply_ages.go) or m has an unresponsive mark.
+// replied to m. That is the election of this leader, or earlier if the previous leader
+// has said so (reply_ages.go) or m has an unresponsive mark.
 func (s *State) latestPossibleReplyAt(m *machine) time.Duration {
 	latest := s.electedAt
 	if reportedAt, ok := s.reportedReplyAt(m); ok {
--- a/internal/core/renewal.go
+++ b/internal/core/renewal.go
@@ -37,7 +37,7 @@
 
 // isCutFromWorkers reports whether no worker's report has arrived for a third of a
 // lease, though there are machines that should report, and a peer could lead instead.
-// It reports none of that before two thirds of a lease have passed since the election. A
+// It returns false until two thirds of a lease have passed since the election. A
 // worker waits 4 s for an answer and then 1 s more before it turns to the next controller.
 // So there is no time to wait until a worker has reported to a peer: the leader steps down
 // early, so that a successor is ready when the workers turn to it. If the machines
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -49,10 +49,11 @@
 
 	// These are the leader key's value and modification revision, or "" and 0 if there
 	// is no such key.
-	leaderName         string
-	leaderTerm         uint64
-	leaderLeaseID      uint64
-	leaderModRevision  uint64
+	leaderName        string
+	leaderTerm        uint64
+	leaderLeaseID     uint64 // id of the lease in the state service with which the key ends
+	leaderModRevision uint64
+
 	leaderKeyChangedAt time.Duration // when the leader key was last seen to change or be removed
 
 	typesModRevision uint64
@@ -110,10 +111,10 @@
 				return
 			}
 			if onFirstPage {
-				// The watch brings the changes after the revision of the first
-				// page. That may be 0, the revision of an empty store, so first
-				// tells whether it is known: the revision of a later page would
-				// make the watch miss changes.
+				// The watch must start at the revision of the first page. With
+				// that of a later page it would miss changes made between the
+				// pages. firstRevision can't tell whether it is set, because 0
+				// is also the revision of an empty store.
 				onFirstPage, firstRevision = false, result.Revision
 			}
 			for _, item := range result.Items {
@@ -165,7 +166,7 @@
 // dropTombstones forgets removed keys, so that memory does not grow with every key that
 // ever existed. The revision of a key's removal, its tombstone, prevents an outdated
 // answer from restoring the key. It is no longer needed when no request is in flight
-// that could bring such an answer.
+// that could bring such an answer, and the next watch starts after the removal.
 func (s *State) dropTombstones() {
 	if s.readInFlight || s.txnInFlight || s.loading {
 		return
@@ -263,8 +264,9 @@
 		var value termValue
 		if json.Unmarshal(item.Value, &value) == nil {
 			s.term, s.termModRevision, s.termWinner = max(s.term, value.Term), item.ModRevision, value.Controller
-			// The winner reads all earlier changes before it acts, and with them
-			// the cancellations.
+			// Before it acts, the winner of the term reads all changes up to this
+			// revision. So it knows of the cancellations among them, and they need
+			// no acknowledgement from it.
 			s.acknowledgeUpTo(item.ModRevision)
 		}
 		s.stepDownIfSuperseded()
@@ -306,7 +308,8 @@
 	return s.modRevisions[key]
 }
 
-// leaderValue is the value of the leader key. The key exists no longer than Lease does.
+// leaderValue is the value of the leader key. Lease is the id of a lease in the state
+// service. When that lease ends, the state service removes the key.
 type leaderValue struct {
 	Controller string `json:"node"`
 	Term       uint64 `json:"term"`
--- a/internal/core/reply_ages.go
+++ b/internal/core/reply_ages.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// A leader that steps down tells its peers which machines it has not replied to
-// recently, and for how long. Without that message, its successor would have to assume
-// replies until its own election, from which those machines' leases would count. When a
-// zone is cut off and the leader loses the state service before it can mark the zone's
-// machines as unresponsive in the registry, their services would then stay down for a
-// further lease.
+// When a leadership ends, also because it has expired, its leader tells the peers which
+// machines it has not replied to recently, and for how long. Without that message, the
+// successor must assume that the former leader replied to them right up to the
+// successor's election, and must wait a whole lease from then before it starts their
+// tasks elsewhere. If a zone is cut off and the leader loses the state service before it
+// can mark the zone's machines as unresponsive in the registry, the zone's services
+// would stay down for up to one lease longer.
 
-// replyAges is the content of the message that a leader sent when its term ended.
+// replyAges is the content of the last such message that this controller has received.
 type replyAges struct {
 	term         uint64
 	receivedAt   time.Duration  // when the message arrived, which is after it was sent
-	sinceReplyMs map[string]int // by machine: milliseconds from the last reply to it until the message
+	sinceReplyMs map[string]int // by machine: milliseconds from the sender's last reply to it until the message
 }
 
-// sendReplyAges sends the peers this message. The caller has ended this controller's
-// leadership of term for good.
+// sendReplyAges tells the peers how long ago this controller last replied to each
+// registered machine, if that is longer than a report interval. The caller has ended this
+// controller's leadership of term for good.
 func (s *State) sendReplyAges(term uint64) {
 	sinceReplyMs := map[string]int{}
 	for _, m := range s.machinesByName {
@@ -33,12 +35,14 @@
 	}
 }
 
-// handleReplyAges applies a former leader's message. It may arrive before or after this
-// controller's own election. Machines that have reported to this controller don't need it.
+// handleReplyAges applies a former leader's message, which may arrive before or after
+// this controller's own election. For machines that have reported to this controller in
+// its term, the message is not needed.
 func (s *State) handleReplyAges(message PeerMsg) {
 	if message.Term <= s.replyAges.term {
-		// The message is of an earlier term, or a late copy. The times in a copy
-		// would count from the arrival of the copy and so be too late.
+		// The message is of an earlier term, or a late copy of one that was applied.
+		// The ages in a copy would count from the arrival of the copy, so the replies
+		// would seem later than they were.
 		return
 	}
 	s.replyAges = replyAges{message.Term, s.now, message.Counts}
--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// handlePromisesReleased records that a peer relies on no promise of the previous
-// incarnation. The startup wait ends once all peers have said so.
+// handlePromisesReleased records that a peer relies on no promise of this controller's
+// previous incarnation. The startup wait ends once all peers have said so.
 func (s *State) handlePromisesReleased(peer *peerState) {
 	peer.releasedOurPromises = true
 	for _, other := range s.peers {
@@ -38,8 +38,8 @@
 }
 
 // preapprove lets this controller support a candidate during its startup wait. Without
-// that, the workers lose a fifth of their lease after a crash while another controller
-// is unreachable and cannot release the earlier promises. The conditions are explained
+// that, the workers lose up to a fifth of their lease (PromiseDuration) after a crash while
+// another controller is unreachable and cannot release the earlier promises. The conditions are explained
 // in the package election: this process has read, since its start, the modification
 // revision of the term key that the candidate names; and either no term was won yet, or
 // the winner of the last term is this controller's own previous incarnation or has said
@@ -53,10 +53,10 @@
 	}
 }
 
-// releaseEarlierLeadership ends what is left of a leadership that this controller had
-// before it restarted: the leader key, and the promises that support that leader. No
-// process acts on them any more. If the other controllers waited until key and promises
-// expire, the workers would lose their leases.
+// releaseEarlierLeadership ends what is left of an earlier leadership of this controller,
+// usually of its previous incarnation: the leader key, and the promises that support that
+// leadership. No process acts on them any more. If the other controllers waited until key
+// and promises expire, the workers would lose their leases.
 func (s *State) releaseEarlierLeadership() {
 	if s.leaderName != s.cfg.Self || s.leadership != nil {
 		return
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -44,7 +44,7 @@
 	versionState
 
 	// These hold state that only the leader uses. What is valid for one term only is
-	// reset when a term begins.
+	// reset when a term begins or ends.
 	takeoverState
 	dispatchState
 	reportState
@@ -63,7 +63,7 @@
 	active   map[string]*job     // jobs that are neither done nor cancelled
 	machines map[string]*machine // by host
 	// machinesByName holds all machines sorted by name. Loops use this order so that
-	// traces replay.
+	// replaying a trace of events gives the same effects.
 	machinesByName      []*machine
 	pageHosts           map[int][]string // hosts on each page of the machine registry, as last read
 	machinesWithOrphans []*machine       // machines with orphaned tasks, which must be stopped there
@@ -240,8 +240,8 @@
 	return b
 }
 
-// sortedKeys returns a map's keys in order. No decision may depend on the iteration
-// order of a map, or a trace would not replay.
+// sortedKeys returns a map's keys in order. No decision may depend on the iteration order
+// of a map, or replaying a trace of events would give other effects.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -2,7 +2,7 @@
 // State, changed by Step(now, event), which returns the effects to carry out. It
 // owns the job, task and machine tables and connects the packages election, sched
 // and fleet. The caller passes in monotonic time. The package uses no I/O, clock,
-// goroutine or global random source, so a trace of events replays.
+// goroutine or global random source, so replaying a trace of events gives the same effects.
 package core
 
 import (
@@ -73,15 +73,19 @@
 
 // Tuning holds the settings that operators may change.
 type Tuning struct {
-	SkipLimit           int           // how often later tasks may be placed before a waiting job
+	// SkipLimit is how many tasks of later jobs may be placed ahead of a waiting job. After
+	// that, the job's tasks take any free machine, even without their image, or have one
+	// reserved.
+	SkipLimit           int
 	BitmapWriteInterval time.Duration // minimum time between two writes of a job's finished tasks
 	IdleBoots           float64       // an idle machine is kept for this many boot times of its type
 	// GiveUpBoots is the number of boot times after which a rented machine that has not
 	// reported is given up.
 	GiveUpBoots float64
 	// Patience is the share of a batch job's spare time that may pass before more
-	// expensive machines are rented for it. The spare time is what the goals of its
-	// class leave besides boot, fetch and run.
+	// expensive machines are rented for it. The spare time is the time within which the job
+	// should be done, minus the times to boot a machine, fetch the image and run; or the
+	// time within which it should start, minus boot and fetch, if that is less.
 	Patience      float64
 	SpareServices int // service tasks for which capacity is reserved
 	SpareGangs    int // gangs for which capacity is reserved
@@ -114,8 +118,9 @@
 type Effect any
 
 // Tick starts the time-driven work. WallMs is the wall-clock time in milliseconds.
-// It is used for the ages of jobs and of unresponsive marks in the machine registry,
-// never to decide which controller may act as leader.
+// It is used for the ages of jobs and of unresponsive marks (the times of the last replies
+// to unresponsive machines, in the machine registry), never to decide which controller
+// may act as leader.
 type Tick struct{ WallMs int64 }
 
 // Submit is a user's submission, whose form the package api has checked. WallMs is
@@ -150,7 +155,7 @@
 
 // Reply answers a user, a worker or a health check. If SendBefore is set, the reply
 // is sent only before that time: a process that gets too little CPU time must not
-// send it after the leadership by whose right it was made has expired.
+// send it after the right to act as leader, on which the reply is based, has expired.
 type Reply struct {
 	RequestID  uint64
 	Status     int
--- a/internal/core/writer.go
+++ b/internal/core/writer.go
@@ -228,8 +228,9 @@
 
 // resolveConflict handles a transaction of which some preconditions failed. The cause may
 // be this controller's own earlier attempt whose answer was lost, so the state is read
-// before the outcome of each write is decided. Writes whose own preconditions held are
-// queued again.
+// before the outcome of each write is decided. If that read fails, all writes are queued
+// again. Otherwise those whose own preconditions held are queued again, unless they require
+// leadership and another term was won.
 func (s *State) resolveConflict(writes []*write, failedKeys []string) {
 	hasFailed := map[string]bool{}
 	for _, key := range failedKeys {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,7 +13,7 @@
 // changed since the campaign began. Then neither condition holds for the former
 // leader. Not (A): the key can be created only once the former leader's key is
 // gone. Not (B): a voter that has promised to support the former leader gives no
-// other controller a promise until that one has expired or was released. Any two
+// other controller a promise until this promise has expired or was released. Any two
 // majorities share a voter, so a candidate's majority includes a voter whose
 // promise to the former leader is over. A right to act that has expired does not
 // come back: the controller must win a new term.
@@ -35,9 +35,9 @@
 // another controller may confirm to a user a cancellation that the leader does not
 // learn of. The leader's view of the cancellations may therefore be no older than
 // Config.MaxStaleness. For each of the other controllers, the age is counted from
-// the last read of the state service or from the end of the read lease that this
-// controller has granted to the leader, whichever is later; the highest of these
-// ages counts. While a read lease is in force, its grantor confirms no cancellation
+// the leader's last read of the state service or from the end of the read lease that
+// the other controller has granted to the leader, whichever is later; the highest of
+// these ages counts. While a read lease is in force, its grantor confirms no cancellation
 // that the leader has not acknowledged (as with quorum leases, whose holders
 // are informed before a write is confirmed). Once the view is older, the leader
 // may not act, whoever supports it.
@@ -170,7 +170,7 @@
 	// requests for promises carry it.
 	TermModRevision   uint64
 	campaignStartedAt time.Duration
-	keyRequestedAt    time.Duration // when the key's lease was requested, or last renewed with success
+	keyRequestedAt    time.Duration // when the last request that created or renewed the key's lease was sent
 	hasKey            bool
 	promises          map[string]time.Duration // by voter: when the promise was requested
 	// majorityUntil is when promises of a majority may no longer be in force. It is
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -65,16 +65,16 @@
 	leadership := NewLeadership(cfg, 0, 7, 0)
 	leadership.RecordPromise(0, "a", 0)
 	if leadership.ConfirmElection(ms(10), 0) {
-		t.Fatal("elected with the promise of one of three controllers, want not")
+		t.Fatal("got an election with the promise of one of three controllers, want none")
 	}
 	leadership = NewLeadership(cfg, 0, 7, 0)
 	leadership.RecordPromise(0, "a", 0)
 	leadership.RecordPromise(ms(5), "b", 0)
 	if leadership.CanAct(ms(6)) {
-		t.Error("can act without the leader key, want not")
+		t.Error("got CanAct true without the leader key, want false")
 	}
 	if leadership.ConfirmElection(ms(3100), 0) {
-		t.Error("elected after the promises had expired, want not")
+		t.Error("got an election after the promises had expired, want none")
 	}
 }
 
@@ -83,30 +83,30 @@
 	leadership.RecordPromise(0, "a", 0)
 	leadership.RecordPromise(0, "b", 0)
 	if !leadership.ConfirmElection(ms(10), 0) {
-		t.Fatal("not elected with two of three promises and the key, want elected")
+		t.Fatal("got no election with two of three promises and the key, want one")
 	}
 	// During an outage of the state service only promises are renewed.
 	for at := 1000; at < 20000; at += 1000 {
 		leadership.RecordPromise(ms(at), "a", ms(at))
 		leadership.RecordPromise(ms(at), "c", ms(at))
 		if !leadership.CanAct(ms(at + 900)) {
-			t.Fatalf("at %d ms: cannot act 900 ms later on promises alone, want yes", at)
+			t.Fatalf("promises requested at %d ms: got CanAct false 900 ms later on promises alone, want true", at)
 		}
 	}
 	// After that only the key is renewed.
 	leadership.RecordRenewal(ms(20500), ms(20400))
 	if !leadership.CanAct(ms(23300)) || leadership.ValidUntil() > ms(23400) {
-		t.Errorf("got leadership valid until %v, want just under 23400 ms on the key alone", leadership.ValidUntil())
+		t.Errorf("got leadership valid until %v, want a time between 23.3 s and 23.4 s on the key alone", leadership.ValidUntil())
 	}
 	// An expired leadership does not come back through late renewals.
 	if leadership.CanAct(ms(23400)) {
-		t.Fatal("can act after the key and the promises have expired, want not")
+		t.Fatal("got CanAct true after the key and the promises had expired, want false")
 	}
 	leadership.RecordRenewal(ms(23500), ms(23450))
 	leadership.RecordPromise(ms(23500), "a", ms(23450))
 	leadership.RecordPromise(ms(23500), "b", ms(23450))
 	if leadership.CanAct(ms(23501)) {
-		t.Error("can act again after late renewals of an expired leadership, want not")
+		t.Error("got CanAct true after late renewals of an expired leadership, want false")
 	}
 }
 
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestReadLeases checks to which term's leader a read lease binds its grantor and
-// for how long, and how long read leases let a leader act.
+// TestReadLeases checks for how long, and towards the leaders of which terms, a read
+// lease binds its grantor, and for how long read leases let a leader act.
 func TestReadLeases(t *testing.T) {
 	readLeaseConfig := cfg
 	readLeaseConfig.MaxStaleness, readLeaseConfig.ReadLeaseDuration = 10*time.Second, 20*time.Second
@@ -194,7 +194,7 @@
 		leadership.RecordPromise(0, "a", 0)
 		leadership.RecordPromise(0, "b", 0)
 		if !leadership.ConfirmElection(0, 0) {
-			t.Fatal("not elected with two of three promises and the key, want elected")
+			t.Fatal("got no election with two of three promises and the key, want one")
 		}
 		c.do(leadership)
 		for at := 1000; at < 60000; at += 1000 {
