--- a/internal/core/restart.go
+++ b/internal/core/restart.go
@@ -39,11 +39,11 @@
 
 // preapprove lets this controller support a candidate during its startup wait. Without
 // that, the workers lose up to a fifth of their lease (PromiseDuration) after a crash while
-// another controller is unreachable and cannot release the earlier promises. The conditions are explained
-// in the package election: this process has read, since its start, the modification
-// revision of the term key that the candidate names; and either no term was won yet, or
-// the winner of the last term is this controller's own previous incarnation or has said
-// that it relies on no earlier promise.
+// another controller is unreachable and cannot release the earlier promises. The conditions
+// are explained in the package election: this process has read, since its start, the
+// modification revision of the term key that the candidate names; and either no term was
+// won yet, or the winner of the last term is this controller's own previous incarnation or
+// has said that it relies on no earlier promise.
 func (s *State) preapprove(candidate string, term, termModRevision uint64) {
 	if s.voter.IsStartupWaitOver(s.now) || !s.loaded || termModRevision != s.termModRevision {
 		return
