--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -14,7 +14,7 @@
 	sim                 *Simulation
 	Name                string
 	index               int
-	incarnation         int                         // counts starts and crashes; events scheduled before the last one are dropped
+	generation          int                         // counts starts and crashes; events scheduled before the last one are dropped
 	State               *core.State                 // nil while the process is down
 	pendingRequests     map[uint64]func(core.Reply) // handlers of the replies, by request id
 	lastRequest         uint64                      // id of the last request received
@@ -53,13 +53,13 @@
 		c.sim.Options.ConfigurePreviousVersion(&cfg)
 	}
 	c.StartCount++
-	c.incarnation++
+	c.generation++
 	c.clockDrift = (c.sim.Rand.Float64() - 0.5) * core.ClockDrift
 	c.wallClockOffset = (c.sim.Rand.Float64() - 0.5) * 1.4
 	c.pendingRequests = map[uint64]func(core.Reply){}
 	c.State = core.New(cfg, c.monotonicNow())
 	c.sim.tracef("%s starts", c.Name)
-	c.tick(c.incarnation)
+	c.tick(c.generation)
 }
 
 // Crash kills the process. It starts again after Options.RestartDelay.
@@ -72,7 +72,7 @@
 	}
 	c.sim.tracef("%s crashes", c.Name)
 	c.State, c.paused = nil, nil
-	c.incarnation++
+	c.generation++
 	c.sim.After(d, func() {
 		if c.State == nil {
 			c.Start()
@@ -96,10 +96,10 @@
 	}
 	c.sim.tracef("%s is paused", c.Name)
 	c.paused = &pausedWork{}
-	incarnation := c.incarnation
+	generation := c.generation
 	c.sim.After(d, func() {
 		work := c.paused
-		if c.incarnation != incarnation || work == nil {
+		if c.generation != generation || work == nil {
 			return
 		}
 		c.paused = nil
@@ -114,8 +114,8 @@
 }
 
 // tick sends the core a tick every 50 ms until the incarnation ends.
-func (c *Controller) tick(incarnation int) {
-	if c.incarnation != incarnation || c.State == nil {
+func (c *Controller) tick(generation int) {
+	if c.generation != generation || c.State == nil {
 		return
 	}
 	// The error of the wall clock varies by up to 0.3 times MaxClockSkew around its
@@ -123,7 +123,7 @@
 	// the wall clock shows 1e9 ms, for users as well.
 	offsetS := (c.wallClockOffset + 0.3*math.Sin(c.sim.Now.Seconds()/17+float64(c.index))) * c.sim.Options.Config.MaxClockSkew.Seconds()
 	c.Step(core.Tick{WallMs: c.sim.Now.Milliseconds() + 1e9 + int64(1000*offsetS)})
-	c.sim.After(50*time.Millisecond, func() { c.tick(incarnation) })
+	c.sim.After(50*time.Millisecond, func() { c.tick(generation) })
 }
 
 // Step passes an event to the core, as soon as the core has made the steps queued
@@ -141,9 +141,9 @@
 		return // a time.Ticker drops ticks that are not received in time
 	}
 	c.busyUntil = max(c.busyUntil, c.sim.Now) + c.StepDuration
-	incarnation := c.incarnation
+	generation := c.generation
 	c.sim.At(c.busyUntil, func() {
-		if c.incarnation == incarnation && c.State != nil {
+		if c.generation == generation && c.State != nil {
 			c.process(ev)
 		}
 	})
@@ -197,13 +197,13 @@
 	}
 }
 
-// ifSameIncarnation returns a wrapper for functions. A wrapped function does nothing
+// ifSameGeneration returns a wrapper for functions. A wrapped function does nothing
 // if the process has crashed or restarted since ifSameIncarnation was called.
-func (c *Controller) ifSameIncarnation() func(f func()) func() {
-	incarnation := c.incarnation
+func (c *Controller) ifSameGeneration() func(f func()) func() {
+	generation := c.generation
 	return func(f func()) func() {
 		return func() {
-			if c.incarnation == incarnation && c.State != nil {
+			if c.generation == generation && c.State != nil {
 				f()
 			}
 		}
@@ -213,14 +213,14 @@
 // callStore sends a call to the state service. After the call's timeout the core gets
 // an empty result, which it ignores if it already has an answer.
 func (c *Controller) callStore(call core.StoreCall) {
-	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	sim, ifSameGeneration := c.sim, c.ifSameGeneration()
 	sim.send(c.Name, "state", func() {
 		sim.Store.serve(c.Name, call, func(result core.StoreResult) {
-			sim.send("state", c.Name, ifAlive(func() { c.deliver(result) }))
+			sim.send("state", c.Name, ifSameGeneration(func() { c.deliver(result) }))
 		})
 		sim.maybeRepeat(func() { sim.Store.serve(c.Name, call, func(core.StoreResult) {}) })
 	})
-	sim.After(call.Timeout, ifAlive(func() { c.deliver(core.StoreResult{CallID: call.CallID}) }))
+	sim.After(call.Timeout, ifSameGeneration(func() { c.deliver(core.StoreResult{CallID: call.CallID}) }))
 }
 
 // cloudTimeout and agentTimeout are how long a controller waits for an answer of the
@@ -233,20 +233,20 @@
 // callCloud sends a call to the cloud and waits up to cloudTimeout for the answer. See
 // callStore for what happens after the timeout.
 func (c *Controller) callCloud(call core.CloudCall) {
-	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	sim, ifSameGeneration := c.sim, c.ifSameGeneration()
 	sim.send(c.Name, "cloud", func() {
 		result := sim.Cloud.serve(call)
 		sim.maybeRepeat(func() { sim.Cloud.serve(call) })
-		sim.send("cloud", c.Name, ifAlive(func() { c.deliver(result) }))
+		sim.send("cloud", c.Name, ifSameGeneration(func() { c.deliver(result) }))
 	})
-	sim.After(cloudTimeout, ifAlive(func() { c.deliver(core.CloudResult{CallID: call.CallID}) }))
+	sim.After(cloudTimeout, ifSameGeneration(func() { c.deliver(core.CloudResult{CallID: call.CallID}) }))
 }
 
 // callAgent sends a command to a worker and waits up to agentTimeout for the answer. It
 // sends nothing if the controller's right to send the command has expired. See callStore
 // for what happens after the timeout.
 func (c *Controller) callAgent(call core.AgentCall) {
-	sim, ifAlive := c.sim, c.ifSameIncarnation()
+	sim, ifSameGeneration := c.sim, c.ifSameGeneration()
 	if c.monotonicNow() >= call.SendBefore {
 		c.deliver(core.AgentResult{CallID: call.CallID}) // the real network layer also makes this check last
 		return
@@ -262,11 +262,11 @@
 			return
 		}
 		wk.handleCommands(call, func(result core.AgentResult) {
-			sim.send(call.Endpoint, c.Name, ifAlive(func() { c.deliver(result) }))
+			sim.send(call.Endpoint, c.Name, ifSameGeneration(func() { c.deliver(result) }))
 		})
 		sim.maybeRepeat(func() { wk.handleCommands(call, func(core.AgentResult) {}) })
 	})
-	sim.After(agentTimeout, ifAlive(func() { c.deliver(core.AgentResult{CallID: call.CallID}) }))
+	sim.After(agentTimeout, ifSameGeneration(func() { c.deliver(core.AgentResult{CallID: call.CallID}) }))
 }
 
 // sendToPeer sends a message to another controller.
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -98,19 +98,19 @@
 				for _, violation := range sim.Checker.Violations {
 					t.Errorf("seed %d: %s", seed, violation)
 				}
-				gangs, done := 0, 0
+				gangs, doneOrCannotStart := 0, 0
 				for _, job := range sim.Checker.jobs {
 					if job.accepted && !job.cancelRequested && job.spec.Kind == model.KindGang {
 						gangs++
 						if job.confirmedDone || !sim.Checker.canStart(job) {
-							done++ // a gang that can't start now also counts: services or its team's limit may leave no capacity for it
+							doneOrCannotStart++ // a gang that can't start now also counts: services or its team's limit may leave no capacity for it
 						}
 					}
 				}
-				if gangs == 0 || done < gangs {
-					t.Errorf("seed %d: got %d of %d gangs done or unable to start at the end, want at least one gang and all of them", seed, done, gangs)
+				if gangs == 0 || doneOrCannotStart < gangs {
+					t.Errorf("seed %d: got %d of %d gangs done or unable to start at the end, want at least one gang and all of them", seed, doneOrCannotStart, gangs)
 				}
-				t.Logf("seed %d: %d of %d gangs done, %d starts", seed, done, gangs, sim.Checker.TaskStarts)
+				t.Logf("seed %d: %d of %d gangs done, %d starts", seed, doneOrCannotStart, gangs, sim.Checker.TaskStarts)
 			}
 		})
 	}
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -214,7 +214,7 @@
 // the whole gang wouldn't fit even so, nothing is preempted.
 func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
-	guaranteedGang := func(tasks int) model.Job {
+	ownTeamGang := func(tasks int) model.Job {
 		gang := gangJob("req-000009", tasks)
 		gang.Team = "own"
 		return gang
@@ -224,58 +224,58 @@
 		team core.Team // the team of the gang
 		load func(sim *Simulation)
 		gang model.Job
-		// starts says whether the gang starts within 15 s. remaining holds, for each other
+		// starts says whether the gang starts within 15 s. wantFewestRunning holds, for each other
 		// job, the smallest number of its tasks that run at any moment until then.
-		starts    bool
-		remaining map[string]int
+		starts            bool
+		wantFewestRunning map[string]int
 	}{
-		{name: "within the guarantee, and another team borrows", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(4), starts: true,
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 4}},
-		{name: "a part of the gang is beyond the guarantee", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(5),
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "the gang would not fit into any zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(3); gang.OneZone = true; return gang }(),
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "the gang preempts the tasks of one zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := guaranteedGang(2); gang.OneZone = true; return gang }(), starts: true,
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 8}},
-		{name: "the gang would exceed the team's limit", team: core.Team{Guaranteed: sched.Resources{CPUs: 12}, Limit: sched.Resources{CPUs: 10}}, gang: guaranteedGang(4),
+		{name: "within the guarantee, and another team borrows", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: ownTeamGang(4), starts: true,
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 4}},
+		{name: "a part of the gang is beyond the guarantee", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: ownTeamGang(5),
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 12}},
+		{name: "the gang would not fit into any zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := ownTeamGang(3); gang.OneZone = true; return gang }(),
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 12}},
+		{name: "the gang preempts the tasks of one zone", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: func() model.Job { gang := ownTeamGang(2); gang.OneZone = true; return gang }(), starts: true,
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 8}},
+		{name: "the gang would exceed the team's limit", team: core.Team{Guaranteed: sched.Resources{CPUs: 12}, Limit: sched.Resources{CPUs: 10}}, gang: ownTeamGang(4),
 			load: func(sim *Simulation) {
 				sameTeam := batchJob("req-000002", 4)
 				sameTeam.Team = "own"
 				sim.Users.Submit(sameTeam, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 8), 200*second)
-			}, remaining: map[string]int{"req-000001": 8, "req-000002": 4}},
-		{name: "work with checkpoints is preempted first", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: guaranteedGang(3), starts: true,
+			}, wantFewestRunning: map[string]int{"req-000001": 8, "req-000002": 4}},
+		{name: "work with checkpoints is preempted first", team: core.Team{Guaranteed: sched.Resources{CPUs: 8}}, gang: ownTeamGang(3), starts: true,
 			load: func(sim *Simulation) {
 				checkpointed := batchJob("req-000002", 6)
 				checkpointed.CheckpointEveryS, checkpointed.CheckpointCostS = 3, 1
 				sim.Users.Submit(checkpointed, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
-			}, remaining: map[string]int{"req-000001": 6, "req-000002": 0}},
-		{name: "a borrowing gang is preempted as a whole", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2), starts: true,
-			load: func(sim *Simulation) { sim.Users.Submit(gangJob("req-000001", 6), 200*second) }, remaining: map[string]int{"req-000001": 0}},
-		{name: "a gang that is partly within its own guarantee is not preempted", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: guaranteedGang(2),
+			}, wantFewestRunning: map[string]int{"req-000001": 6, "req-000002": 0}},
+		{name: "a borrowing gang is preempted as a whole", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: ownTeamGang(2), starts: true,
+			load: func(sim *Simulation) { sim.Users.Submit(gangJob("req-000001", 6), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 0}},
+		{name: "a gang that is partly within its own guarantee is not preempted", team: core.Team{Guaranteed: sched.Resources{CPUs: 4}}, gang: ownTeamGang(2),
 			load: func(sim *Simulation) {
 				sim.Options.Config.Teams["t"] = core.Team{Guaranteed: sched.Resources{CPUs: 8}}
 				sim.Users.Submit(gangJob("req-000001", 6), 200*second)
-			}, remaining: map[string]int{"req-000001": 6}},
-		{name: "no guarantee and equal priority", gang: guaranteedGang(2),
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 12}},
-		{name: "higher priority than some jobs, which are preempted", gang: func() model.Job { gang := guaranteedGang(3); gang.Priority = model.PriorityHigh; return gang }(), starts: true,
+			}, wantFewestRunning: map[string]int{"req-000001": 6}},
+		{name: "no guarantee and equal priority", gang: ownTeamGang(2),
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 12}},
+		{name: "higher priority than some jobs, which are preempted", gang: func() model.Job { gang := ownTeamGang(3); gang.Priority = model.PriorityHigh; return gang }(), starts: true,
 			load: func(sim *Simulation) {
 				samePriority := batchJob("req-000002", 6)
 				samePriority.Priority = model.PriorityHigh
 				sim.Users.Submit(samePriority, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
-			}, remaining: map[string]int{"req-000001": 0, "req-000002": 6}},
-		{name: "higher priority than some jobs, whose capacity is too small for the gang", gang: func() model.Job { gang := guaranteedGang(4); gang.Priority = model.PriorityHigh; return gang }(),
+			}, wantFewestRunning: map[string]int{"req-000001": 0, "req-000002": 6}},
+		{name: "higher priority than some jobs, whose capacity is too small for the gang", gang: func() model.Job { gang := ownTeamGang(4); gang.Priority = model.PriorityHigh; return gang }(),
 			load: func(sim *Simulation) {
 				samePriority := batchJob("req-000002", 6)
 				samePriority.Priority = model.PriorityHigh
 				sim.Users.Submit(samePriority, 200*second)
 				sim.Users.Submit(batchJob("req-000001", 6), 200*second)
-			}, remaining: map[string]int{"req-000001": 6, "req-000002": 6}},
-		{name: "higher priority than all other jobs", gang: func() model.Job { gang := guaranteedGang(2); gang.Priority = model.PriorityProd; return gang }(), starts: true,
-			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, remaining: map[string]int{"req-000001": 8}},
+			}, wantFewestRunning: map[string]int{"req-000001": 6, "req-000002": 6}},
+		{name: "higher priority than all other jobs", gang: func() model.Job { gang := ownTeamGang(2); gang.Priority = model.PriorityProd; return gang }(), starts: true,
+			load: func(sim *Simulation) { sim.Users.Submit(batchJob("req-000001", 12), 200*second) }, wantFewestRunning: map[string]int{"req-000001": 8}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			opt := DefaultOptions(4)
@@ -287,19 +287,19 @@
 			fewestRunning := map[string]int{}
 			var sample func()
 			sample = func() {
-				for id := range tc.remaining {
+				for id := range tc.wantFewestRunning {
 					fewestRunning[id] = min(fewestRunning[id], len(sim.Checker.jobs[id].runningOn))
 				}
 				sim.After(100*time.Millisecond, sample)
 			}
 			sim.At(arrival-second, func() {
-				for id := range tc.remaining {
+				for id := range tc.wantFewestRunning {
 					fewestRunning[id] = len(sim.Checker.jobs[id].runningOn)
 				}
 				sample()
 			})
 			sim.RunUntil(arrival + 15*second)
-			for id, want := range tc.remaining {
+			for id, want := range tc.wantFewestRunning {
 				if fewestRunning[id] != want {
 					t.Errorf("got as few as %d tasks of %s running at some moment, want %d as the fewest", fewestRunning[id], id, want)
 				}
