--- a/internal/sim/cancelled_test.go
+++ b/internal/sim/cancelled_test.go
@@ -17,7 +17,7 @@
 const faultsAt = 60 * second
 
 // afterReportAnswer calls f once the machine has received the answer to a report that it
-// sent after the given time.
+// sent after the given time, or has begun a new session after it.
 func (s *cancelScenario) afterReportAnswer(sent time.Duration, f func()) {
 	s.runWhen(sent, func() bool { return s.machine.leaseStartedAt > sent }, f)
 }
@@ -35,9 +35,10 @@
 
 // cancelScenarios are scenarios in which a machine gets an answer, and with it a renewed
 // lease, later than cancel_s - lease_s after the cancellation was confirmed to the user.
-// Nothing after that answer tells the machine of the cancellation. The setting cancel_s
-// is the time within which the tasks of a cancelled job must be gone (CancelWithin),
-// lease_s is the duration of a worker's lease.
+// Nothing after that answer tells the machine of the cancellation in time: direct commands,
+// which would otherwise stop the task, arrive 2 to 16 s late (LateCommandFraction). The
+// setting cancel_s is the time within which the tasks of a cancelled job must be gone
+// (CancelWithin), lease_s is the duration of a worker's lease.
 var cancelScenarios = []struct {
 	name            string
 	machinesPerZone int
@@ -48,13 +49,13 @@
 		scenario.crashLeader(300 * time.Millisecond)
 		scenario.crashEachLeader(scenario.Now + scenario.Options.Config.CancelWithin)
 	}},
-	{"the machine is paused once a leader elected late has answered it", 5, pauseOnceAnswered},
+	{"the next leader is elected late, and the machine is paused once that leader has answered it", 5, pauseOnceAnswered},
 	{"the same among thousands of machines", 1340, pauseOnceAnswered},
 }
 
 // pauseOnceAnswered prevents any election until a renewed lease of the machine would
 // last longer than CancelWithin allows. It then pauses the machine, for longer than its
-// lease, as soon as a leader has answered it.
+// lease, as soon as the new leader has answered it.
 func pauseOnceAnswered(scenario *cancelScenario) {
 	config := scenario.Options.Config
 	scenario.LateCommandFraction = 1
@@ -89,7 +90,7 @@
 			}
 			confirmedAt := scenario.Checker.jobs[scenario.job].cancelConfirmedAt
 			if confirmedAt == 0 || confirmedAt > faultsAt+5*second || scenario.Checker.CancelledTasksStopped == 0 {
-				t.Errorf("scenario without effect: got cancellation confirmed at %v with %d cancelled tasks stopped, want it confirmed within 5 s of the start of the faults and at least 1 task stopped", confirmedAt, scenario.Checker.CancelledTasksStopped)
+				t.Errorf("scenario without effect: got cancellation confirmed at %v (0s: not confirmed) with %d cancelled tasks stopped, want it confirmed by 1m5s, 5 s after the faults began, and at least 1 task stopped", confirmedAt, scenario.Checker.CancelledTasksStopped)
 			}
 			t.Logf("the cancelled tasks were gone %v before the end of cancel_s", scenario.Checker.LeastMargin)
 		})
--- a/internal/sim/check_test.go
+++ b/internal/sim/check_test.go
@@ -75,7 +75,8 @@
 			sim.Options.Config.Teams = map[string]core.Team{"t": {Limit: sched.Resources{CPUs: 2}}}
 		}},
 		{rule: "wrong_place", tamper: func(sim *Simulation, controller *Controller, e core.Effect) core.Effect {
-			// The start of replica 1 is sent to the machine that starts replica 0.
+			// The start of replica 1 is sent to the machine that starts replica 0, although the
+			// job's replicas must be spread over the zones.
 			return editOrders(e, func(orders []model.Order) []model.Order {
 				kept := []model.Order{}
 				for _, order := range withoutKills(orders) {
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -14,7 +14,7 @@
 	sim                 *Simulation
 	Name                string
 	index               int
-	generation          int                         // counts starts and crashes; events scheduled before the last one are dropped
+	generation          int                         // goes up at each start and each crash; what was scheduled under an earlier value is dropped
 	State               *core.State                 // nil while the process is down
 	pendingRequests     map[uint64]func(core.Reply) // handlers of the replies, by request id
 	lastRequest         uint64                      // id of the last request received
@@ -113,7 +113,7 @@
 	})
 }
 
-// tick sends the core a tick every 50 ms until the incarnation ends.
+// tick sends the core a tick every 50 ms until the generation changes.
 func (c *Controller) tick(generation int) {
 	if c.generation != generation || c.State == nil {
 		return
@@ -198,7 +198,7 @@
 }
 
 // ifSameGeneration returns a wrapper for functions. A wrapped function does nothing
-// if the process has crashed or restarted since ifSameIncarnation was called.
+// if the process has crashed or restarted since ifSameGeneration was called.
 func (c *Controller) ifSameGeneration() func(f func()) func() {
 	generation := c.generation
 	return func(f func()) func() {
@@ -248,7 +248,7 @@
 func (c *Controller) callAgent(call core.AgentCall) {
 	sim, ifSameGeneration := c.sim, c.ifSameGeneration()
 	if c.monotonicNow() >= call.SendBefore {
-		c.deliver(core.AgentResult{CallID: call.CallID}) // the real network layer also makes this check last
+		c.deliver(core.AgentResult{CallID: call.CallID}) // the real network layer, too, makes this check just before it sends
 		return
 	}
 	sim.send(c.Name, call.Endpoint, func() {
--- a/internal/sim/gang_test.go
+++ b/internal/sim/gang_test.go
@@ -43,7 +43,8 @@
 }
 
 // TestGangScenarios runs gangs and the mixed load through some of the fault scenarios and
-// combined faults. It checks that no rule is violated and that all gangs are done.
+// combined faults. It checks that no rule is violated and that each gang that was not
+// cancelled is done or can't start at the end.
 func TestGangScenarios(t *testing.T) {
 	type scenario struct {
 		name   string
@@ -103,14 +104,14 @@
 					if job.accepted && !job.cancelRequested && job.spec.Kind == model.KindGang {
 						gangs++
 						if job.confirmedDone || !sim.Checker.canStart(job) {
-							doneOrCannotStart++ // a gang that can't start now also counts: services or its team's limit may leave no capacity for it
+							doneOrCannotStart++ // a gang can't start if its tasks are on machines already, or if services or its team's limit leave no capacity for it
 						}
 					}
 				}
 				if gangs == 0 || doneOrCannotStart < gangs {
 					t.Errorf("seed %d: got %d of %d gangs done or unable to start at the end, want at least one gang and all of them", seed, doneOrCannotStart, gangs)
 				}
-				t.Logf("seed %d: %d of %d gangs done, %d starts", seed, doneOrCannotStart, gangs, sim.Checker.TaskStarts)
+				t.Logf("seed %d: %d of %d gangs done or unable to start, %d task starts", seed, doneOrCannotStart, gangs, sim.Checker.TaskStarts)
 			}
 		})
 	}
@@ -226,9 +227,10 @@
 		}
 	}
 	if job := sim.Checker.jobs[gang.ID]; job.firstStartedAt != 0 || job.confirmedDone || !job.accepted {
-		t.Errorf("gang larger than the cloud, at 550 s: got accepted %v, first started at %v (0s: not), want accepted, not started and not confirmed as done", job.accepted, job.firstStartedAt)
+		t.Errorf("gang larger than the cloud, at 550 s: got accepted %v, first started at %v (0s: not), want accepted, not started and not confirmed as done (the last is not shown)", job.accepted, job.firstStartedAt)
 	}
-	// The arrays take two to three machines, each of which idles for at most a minute.
+	// There was one sample per second for 250 s. The arrays take two to three machines, each
+	// of which idles for at most a minute.
 	if meanIdle := idle.Seconds() / 250; meanIdle > 4 {
 		t.Errorf("got %.1f of %.1f rented machines idle on average, want at most 4", meanIdle, rented.Seconds()/250)
 	}
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -3,7 +3,8 @@
 import "time"
 
 // This file simulates the network between all hosts. A host is identified by the name of a
-// controller, the endpoint of a worker, "state", "cloud" or "users".
+// controller, the endpoint of a worker, "state", "cloud" or "users". Late copies of reports
+// come from a host "copy".
 
 // link is one direction of the network between two hosts.
 type link struct {
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -210,8 +210,8 @@
 }
 
 // TestGangPreemption checks that a gang within its team's guarantee, or more urgent
-// than running work, preempts other work on all machines that it needs at once. If
-// the whole gang wouldn't fit even so, nothing is preempted.
+// than running work, preempts as much other work as all its tasks together need. If
+// the whole gang wouldn't fit even then, nothing is preempted.
 func TestGangPreemption(t *testing.T) {
 	const arrival = 60 * second
 	ownTeamGang := func(tasks int) model.Job {
@@ -301,7 +301,7 @@
 			sim.RunUntil(arrival + 15*second)
 			for id, want := range tc.wantFewestRunning {
 				if fewestRunning[id] != want {
-					t.Errorf("got as few as %d tasks of %s running at some moment, want %d as the fewest", fewestRunning[id], id, want)
+					t.Errorf("got %d tasks of %s running at the moment with the fewest, want %d", fewestRunning[id], id, want)
 				}
 			}
 			if started := sim.Checker.jobs[tc.gang.ID].firstStartedAt != 0; started != tc.starts {
--- a/internal/sim/trace_test.go
+++ b/internal/sim/trace_test.go
@@ -78,7 +78,7 @@
 	run         func(sim *Simulation) // schedules the events of the scenario
 }{
 	{"gang-replacement", "A machine with waiting tasks is reclaimed while a gang gathers. The other tasks keep waiting. Replacement tasks with the same attempt number complete the gang.", 60 * second, func(sim *Simulation) {
-		sim.Cloud.Rent("small", "b", false, 2) // one machine more than the gang needs
+		sim.Cloud.Rent("small", "b", false, 2) // for replacement tasks: three more are rented for the gang
 		sim.At(second, func() { sim.Users.Submit(gangJob("req-000001", 5), 15*second) })
 		sim.runWhen(2*second, func() bool { return sim.countInState("req-000001", model.TaskFetching) == 5 }, func() {
 			sim.machineWithTask("req-000001/4").Pause(5 * second)
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -14,8 +14,8 @@
 	// submit the job again, whenever a job is accepted or they are told that it is
 	// cancelled or done.
 	ProbesAllControllers bool
-	// StopsPollingAtEnd makes users stop polling a job once its end is confirmed to
-	// them. Without it they poll once more 20 s later.
+	// StopsPollingAtEnd makes users schedule no more polls of a job once its end is
+	// confirmed to them. Without it they poll once more at the end (see poll).
 	StopsPollingAtEnd bool
 	// CancelAtEndFraction is the fraction of batch jobs that users cancel just after the
 	// last task has ended.
@@ -51,7 +51,8 @@
 }
 
 // submitEvent returns a function that creates the event of a submission from its
-// request id. Its wall-clock time is that of the controllers without their error.
+// request id. The event holds the right wall-clock time; the wall clocks of the
+// controllers differ from it by their error.
 func (u *Users) submitEvent(spec model.Job) func(uint64) core.Event {
 	return func(req uint64) core.Event {
 		return core.Submit{RequestID: req, Job: spec, WallMs: u.sim.Now.Milliseconds() + 1e9}
@@ -105,9 +106,8 @@
 	trySubmit()
 }
 
-// poll polls a job every 5 s until its end is confirmed, and, unless StopsPollingAtEnd is
-// set, once more 20 s later. A poll that is scheduled when the end is confirmed still goes
-// out.
+// poll polls a job every 5 s until its end is confirmed. A poll that is scheduled by then
+// still goes out. Unless StopsPollingAtEnd is set, a last poll follows 20 s after that one.
 func (u *Users) poll(job *jobRecord) {
 	delay := 5 * time.Second
 	hasEnded := job.confirmedDone || job.cancelConfirmedAt != 0
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -308,8 +308,8 @@
 }
 
 // killTask stops a task. A running task with checkpoints saves one first if the order gives
-// a grace period that is long enough. An order without a grace period lets a task that is
-// saving go on.
+// a grace period that is long enough. A task that is saving goes on, unless the order gives
+// a grace period of 0.
 func (wk *Worker) killTask(order model.Order, run *taskRun) {
 	job := wk.sim.Checker.jobOf(order.Task)
 	if job.spec.Kind == model.KindGang && run.state != model.TaskFetching {
