--- a/internal/sim/check.go
+++ b/internal/sim/check.go
@@ -15,7 +15,7 @@
 	jobs map[string]*jobRecord
 	// Violations are the violations found, each with its time, rule and details.
 	Violations []string
-	TaskStarts int // tasks that have started; a gang's task counts from gathering on
+	TaskStarts int // tasks that have started, as taskStarted counts them
 	JobsDone   int // jobs that were confirmed as done
 	// StartsAfterCancellation counts tasks that started after the cancellation of their
 	// job was confirmed to its user.
@@ -69,7 +69,8 @@
 }
 
 // taskStarted records that a task has started on a machine, and checks that it may run
-// there and now. A gang's task counts as started when it begins to gather.
+// there and now. A gang's task counts as started when it begins to gather, that is, has its
+// image and waits for the gang's other tasks.
 func (c *Checker) taskStarted(task string, wk *Worker, run *taskRun) {
 	job := c.jobOf(task)
 	c.TaskStarts++
--- a/internal/sim/sharing_test.go
+++ b/internal/sim/sharing_test.go
@@ -224,8 +224,8 @@
 		team core.Team // the team of the gang
 		load func(sim *Simulation)
 		gang model.Job
-		// starts says whether the gang starts within 15 s. wantFewestRunning holds, for each other
-		// job, the smallest number of its tasks that run at any moment until then.
+		// starts says whether the gang starts within 15 s. wantFewestRunning holds, for each
+		// other job, the smallest number of its tasks that run at any moment until then.
 		starts            bool
 		wantFewestRunning map[string]int
 	}{
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -68,9 +68,10 @@
 	// one is dropped.
 	RepeatFraction float64
 
-	// LateCommandFraction is the fraction of direct commands that the network delays
-	// by 2 to 16 s. They get no answer. The worker carries them out once, unless it has a
-	// higher epoch or another session by then.
+	// LateCommandFraction is the fraction of direct commands (orders that a worker gets
+	// outside of answers to its reports) that the network delays by 2 to 16 s. They get no
+	// answer. The worker carries them out once, unless it has a higher epoch or another
+	// session by then.
 	LateCommandFraction float64
 
 	// NextStartRefusal, if not empty, is the cause with which the next start of a task
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -7,7 +7,8 @@
 	"mulleinfall/internal/model"
 )
 
-// Worker simulates one machine and the worker process on it.
+// Worker simulates one machine and the worker process on it. Its tasks run no longer than
+// its lease, which is renewed by answers of the leader to its reports.
 type Worker struct {
 	sim         *Simulation
 	info        model.ListedMachine
