--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -7,7 +7,8 @@
 	"mulleinfall/internal/model"
 )
 
-// Worker simulates one machine and the worker process on it.
+// Worker simulates one machine and the worker process on it. Its tasks run no longer than
+// its lease, which is renewed by answers of the leader to its reports.
 type Worker struct {
 	sim         *Simulation
 	info        model.ListedMachine
@@ -308,8 +309,8 @@
 }
 
 // killTask stops a task. A running task with checkpoints saves one first if the order gives
-// a grace period that is long enough. An order without a grace period lets a task that is
-// saving go on.
+// a grace period that is long enough. A task that is saving goes on, unless the order gives
+// a grace period of 0.
 func (wk *Worker) killTask(order model.Order, run *taskRun) {
 	job := wk.sim.Checker.jobOf(order.Task)
 	if job.spec.Kind == model.KindGang && run.state != model.TaskFetching {
