--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -78,10 +78,10 @@
 	case s.isSilentWithUrgentTasks(m), s.isPresumedLost(m):
 		return returnNow
 	case m.leaseExpired:
-		return returnIf(s.isLostForGood(m))
+		return returnNowOrKeep(s.isLostForGood(m))
 	case !m.hasReported && !m.registered:
-		return returnIf(s.now-m.rentedAt > s.bootTimeout(m))
-	case !m.registered && s.now-m.lastHeardAt > 2*s.cfg.Lease, s.isUnreachableTooLong(m):
+		return returnNowOrKeep(s.now-m.rentedAt > s.bootTimeout(m))
+	case !m.registered && s.now-m.lastHeardAt > 2*s.cfg.Lease, s.shouldReturnUnreachable(m):
 		return returnNow // an unregistered machine has no lease that expireLeases watches
 	case m.slow && m.isEmpty():
 		return returnNow
@@ -94,8 +94,8 @@
 	return machineInUse
 }
 
-// returnIf returns returnNow or keepMachine.
-func returnIf(now bool) disposition {
+// returnNowOrKeep returns returnNow or keepMachine.
+func returnNowOrKeep(now bool) disposition {
 	if now {
 		return returnNow
 	}
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -92,11 +92,11 @@
 	}
 }
 
-// isUnreachableTooLong says whether m should be returned: it is unreachable, it was first
+// shouldReturnUnreachable says whether m should be returned: it is unreachable, it was first
 // found so more than three leases ago or has been found so more than twice, and most
 // machines report. The number of times counts because of machines that commands reach but
 // answers do not: they recover each time, and each of their sessions would end all tasks
 // that run for longer than a lease.
-func (s *State) isUnreachableTooLong(m *machine) bool {
+func (s *State) shouldReturnUnreachable(m *machine) bool {
 	return m.reachability.unreachable && (s.now-m.reachability.firstUnreachableAt > 3*s.cfg.Lease || m.reachability.unreachableCount > 2) && s.mostMachinesReport()
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -47,9 +47,9 @@
 	return limit
 }
 
-// maxRentPauses is how often the pause doubles between rentals for a gang for which the
-// cloud has too few machines: from one lease to 2^6 leases.
-const maxRentPauses = 6
+// maxRentPauseDoublings is how often the pause doubles between rentals for a gang for which
+// the cloud has too few machines: from one lease to 2^6 leases.
+const maxRentPauseDoublings = 6
 
 // postponeRentals handles the gang of the job id, for which the cloud does not have all
 // machines that it needs. The machines that were rented for it stay idle and are returned.
@@ -61,7 +61,7 @@
 		return // no machines were rented, so there is no cost, and the cloud may have some soon
 	}
 	j.gang.machinesRented = false
-	j.gang.nextRentalAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauses)
+	j.gang.nextRentalAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauseDoublings)
 	j.gang.rentPauses++
 }
 
--- a/internal/core/task_reports.go
+++ b/internal/core/task_reports.go
@@ -88,9 +88,9 @@
 // being stopped stays bound; the answer repeats its start.
 func (s *State) handleUnlistedTask(t *task, r *model.Report, selfSent bool) {
 	m := t.machine
-	cannotStart := t.startSent && (t.unconfirmedStartEpoch == 0 || r.Epoch > t.unconfirmedStartEpoch) && (t.startSentSeq == 0 || selfSent && r.Seq > t.startSentSeq)
+	startOutcomeKnown := t.startSent && (t.unconfirmedStartEpoch == 0 || r.Epoch > t.unconfirmedStartEpoch) && (t.startSentSeq == 0 || selfSent && r.Seq > t.startSentSeq)
 	switch {
-	case !cannotStart && t.startSent:
+	case !startOutcomeKnown && t.startSent:
 		if t.stopping && t.unconfirmedStartEpoch != 0 && m.fence <= t.unconfirmedStartEpoch&(1<<fenceBits-1) {
 			s.raiseFence(m) // the task is unbound once a report shows the higher epoch
 		}
