--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -40,7 +40,7 @@
 // an older view has stopped, the workers' leases take up to a lease more to expire, so
 // the age is bounded by what cancel_s leaves beyond a lease, less a sixteenth of that and
 // the drift of the clocks. If cancel_s is hardly longer than a lease, the bound is the
-// promise duration; with a shorter one, no leader could act at all.
+// promise duration; with a shorter bound, no leader could act at all.
 func maxViewAge(cfg Config) time.Duration {
 	remaining := cfg.CancelWithin - cfg.Lease
 	return max(remaining-remaining/16-time.Duration(float64(cfg.CancelWithin)*4*ClockDrift), promiseDuration(cfg))
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -26,9 +26,9 @@
 	zoneUnreachableSince map[string]time.Duration // since when a zone has been unreachable
 	zoneRecoveredAt      map[string]time.Duration // when a zone last became reachable again
 	limitLogged          bool                     // the log says that the limit on machines was reached
-	// reachableMachines is the number of machines outside unreachable zones, and
-	// unaccountedMachines the number of those that may run tasks that this leader has not
-	// seen (isUnaccounted).
+	// reachableMachines is the number of machines outside unreachable zones.
+	// unaccountedMachines is how many of these may run tasks that this leader has not seen
+	// (isUnaccounted); takeoverState.unaccountedFor lists such machines of all zones.
 	reachableMachines   int
 	unaccountedMachines int
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -173,9 +173,9 @@
 	s.emit(call)
 }
 
-// handleUnansweredCommand handles a command that had no answer. It may still be carried
-// out later, so that its outcome is unknown. If it had orders, the fence is raised: once
-// a report shows the higher epoch, the command can no longer be carried out.
+// handleUnansweredCommand handles a command that had no valid answer. The command may still
+// be carried out later, so that its outcome is unknown. If it had orders, the fence is
+// raised: once a report shows the higher epoch, the command can no longer be carried out.
 func (s *State) handleUnansweredCommand(m *machine, epoch uint64, sentAt time.Duration, hadOrders bool) {
 	if hadOrders {
 		m.unconfirmedEpoch = max(m.unconfirmedEpoch, epoch)
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -18,7 +18,7 @@
 	takeoverComplete bool       // every task of jobs from before this term is accounted for
 	scanNext         int        // index in machinesByName: the machines before it are accounted for
 	scanCount        int        // checks of machines so far, for MachinesScanned
-	unaccountedFor   []*machine // machines not accounted for, as of the current dispatch round
+	unaccountedFor   []*machine // machines of all zones that are not accounted for, as of the current dispatch round
 }
 
 // leaseEndsAt is when m's lease has certainly expired, if no controller renews it
@@ -82,9 +82,9 @@
 // hasOverdueCancelledTasks says whether m still holds tasks of a cancelled job when three
 // fifths of the time allowed by cancel_s have passed. Such a machine is returned, which
 // ends the tasks whatever delays their stop. A new leader first gets two report intervals,
-// or that time if it is shorter, to stop them. The time counts from when this controller
-// learnt of the cancellation. Counted from the election, a late change of leader would
-// delay the return until long after cancel_s.
+// or three fifths of cancel_s if that is shorter, to stop them. The time allowed counts from
+// when this controller learnt of the cancellation. Counted from the election, a late change
+// of leader would delay the return until long after cancel_s.
 func (s *State) hasOverdueCancelledTasks(m *machine) bool {
 	limit := s.cfg.CancelWithin * 3 / 5
 	minTermAge := min(limit, 2*s.cfg.ReportInterval)
--- a/internal/core/machine_returns.go
+++ b/internal/core/machine_returns.go
@@ -41,8 +41,9 @@
 }
 
 // countUnaccounted counts the machines outside unreachable zones, and those of them that
-// may run tasks that this leader has not seen. The machines of an unreachable zone are
-// waited for in any case and tell nothing about the others.
+// may run tasks that this leader has not seen. The counts tell whether only a few machines
+// are missing (isPresumedLost). A zone that is cut off as a whole would hide that: jobs that
+// may have tasks there wait for its machines in any case.
 func (s *State) countUnaccounted() {
 	s.unaccountedMachines, s.reachableMachines = 0, 0
 	for _, m := range s.machinesByName {
@@ -60,9 +61,13 @@
 type disposition int
 
 const (
-	keepMachine   disposition = iota // neither in use nor to be returned; its idle time goes on
-	machineInUse                     // its idle time starts again
-	returnIfSpare                    // return it if its capacity need not be kept free
+	// keepMachine keeps a machine and leaves its idleSince: the machine is idle but not to be
+	// returned yet, or it is starting, its lease has expired, or its zone is unreachable.
+	keepMachine disposition = iota
+	// machineInUse keeps a machine and sets its idleSince to now: it has or may have tasks,
+	// or being idle is no reason to return it.
+	machineInUse
+	returnIfSpare // return it if its capacity need not be kept free
 	returnNow
 )
 
@@ -70,7 +75,7 @@
 func (s *State) disposition(m *machine) disposition {
 	switch {
 	case m.returning, m.failed, s.hasOverdueCancelledTasks(m), s.wasReclaimed(m):
-		return returnNow // m.returning: the return is repeated until the cloud confirms it
+		return returnNow // m.returning: the return is repeated until the cloud confirms or refuses it (handleReturnReply)
 	case s.zones[m.zone].unreachable:
 		// The machines are most likely only cut off. Their tasks go on, or can run there
 		// again later, and a machine whose tasks have ended still holds its images.
@@ -94,7 +99,7 @@
 	return machineInUse
 }
 
-// returnNowOrKeep returns returnNow or keepMachine.
+// returnNowOrKeep returns returnNow if now is true, otherwise keepMachine.
 func returnNowOrKeep(now bool) disposition {
 	if now {
 		return returnNow
@@ -152,8 +157,9 @@
 		s.handleMachineGone(host)
 	case m == nil:
 	case status == 503 || status == 429:
-		// The cloud has not returned the machine, so it can be used as before. Otherwise
-		// it would stay empty for as long as the cloud refuses requests.
+		// The cloud has refused the return, so the machine can be used as before, unless the
+		// outcome of an earlier attempt is unknown. If it were not used, it would stay empty
+		// for as long as the cloud refuses requests.
 		m.returning = m.returnUnconfirmed
 		s.dispatchNeeded = true
 	default:
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -49,43 +49,49 @@
 	readUnresponsiveSince                      int64 // the mark as last read from the state service
 
 	preexisting bool // belongs to the operators, not rented: never returned for being idle
-	returning   bool // a return was requested, and the cloud has not refused it
-	// returnUnconfirmed says that a return had no answer, so that the machine may
-	// disappear at any moment.
+	// returning says that a return was requested and may be carried out. It stays set until
+	// the cloud refuses with 429 or 503; if returnUnconfirmed is set, it stays set after that.
+	returning bool
+	// returnUnconfirmed says that an attempt to return the machine had no answer or an
+	// unexpected one, so that the machine may disappear at any moment.
 	returnUnconfirmed bool
 	returnLogged      bool // the log says that it is being returned
 	failed            bool // the cloud reports that it has failed
 	// lastHeardAt is when its last report was applied, also one that answers a direct
 	// command. At first it is the election, or 0 for a machine that is new in this term.
 	lastHeardAt time.Duration
-	// lastReplyAt is when the last report came that may have been answered with 200, or when
-	// the worker's present session became known if that is later. At first it is the latest
-	// time of such a report under a former leader. The worker counts its lease from then or
-	// from earlier (leaseEndsAt).
+	// lastReplyAt is the time from which this leader counts the worker's lease (leaseEndsAt);
+	// the worker counts it from then or from earlier. It is when the last report came that
+	// may have been answered with 200, or when the worker's present session or its restart
+	// became known if that is later. For a superseded report, when the newer one came counts.
+	// At first it is the latest time at which a former leader may have replied
+	// (latestPossibleReplyAt), or 0 for a machine that is new in this term.
 	lastReplyAt       time.Duration
 	rentedAt          time.Duration // on a new leader too late until the cloud's list gives its age
 	idleSince         time.Duration // when it was last in use, or became known
 	reclaimAt         time.Duration // when the cloud will reclaim it; 0: no notice
 	backoffUntil      time.Duration // after refused starts and failed tasks: no new tasks before then
 	consecutiveErrors int           // tasks that failed on it in a row
-	slow              bool          // found slow: it is drained, returned and replaced
-	slowRuns          int           // slow task runs so far (compareRunTime)
+	slow              bool          // found slow (slow_machines.go): no new tasks; returned once empty, and replaced
+	slowRuns          int           // slow task runs, reset by a faster one (compareRunTime)
 
 	tasks         map[string]*task            // bound to it, by name
 	orphanedTasks map[string]model.TaskReport // reported by it but not bound to it: to be stopped
 
 	unverifiedReport *pendingReport // a report that waits for a direct query to verify it
 	reachability     reachability
-	answeredEpoch    uint64        // epoch in the last answer to a report; 0: none in this term
-	answeredSeq      uint64        // highest number of a report of this session that was answered; 0: none
-	answeredAt       time.Duration // when a report was last answered
+	// answeredEpoch is the epoch of the last answer by answerReport, before its stops may
+	// have raised it (addStopsForPendingStarts); 0: none in this term or since a restart.
+	answeredEpoch uint64
+	answeredSeq   uint64        // highest number of a report of this session that answerReport answered; 0: none
+	answeredAt    time.Duration // when answerReport last answered a report
 
 	// A probe is a direct command without orders, which only asks for a report.
 	lastProbeAt          time.Duration // when a stale report last caused a probe
 	hasUnansweredCommand bool          // a direct command had no answer in this term
 	commandInFlight      bool          // a direct command is under way
 	nextCommandAt        time.Duration // no direct command before then, except probes that a report calls for
-	unconfirmedEpoch     uint64        // highest epoch of a direct command with orders and no answer
+	unconfirmedEpoch     uint64        // highest epoch of a direct command with orders and no answer; 0: none
 
 	reservedFor   *job // its free capacity is reserved for this job
 	reservedUntil time.Duration
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -12,7 +12,7 @@
 // tasks sent to it never start, its lease expires, and in each new session it is given the
 // same tasks again, because it holds their image. That a report arrives does not prove that
 // the lease was renewed or that an order was carried out. So the leader checks whether the
-// reports show the epoch and the starts of its answers.
+// reports show the epoch that its answers carried and the tasks that they started.
 
 // reachability is what a leader knows about deliveries to one machine.
 type reachability struct {
@@ -28,16 +28,18 @@
 // single answer or command can be lost.
 const maxMissedDeliveries = 2
 
-// checkDelivery checks whether a machine's own report shows the last answer sent to it.
+// checkDelivery checks whether a report that the worker sent on its own, not in reply to a
+// command, shows the last answer sent to the machine.
 func (s *State) checkDelivery(m *machine, r *model.Report) {
 	switch {
 	case m.reachability.unreachable || m.answeredSeq == 0 || r.Seq <= m.answeredSeq:
 		// The machine is known to be unreachable, or has no answer in this session yet, or
-		// the report was sent before the answer.
+		// the report is no newer than the last one answered.
 	case s.now-m.answeredAt < s.cfg.ReportInterval/3:
-		// The report came so soon after the answer that it was sent before: it is a late
-		// copy. If such copies counted, several that reach a new leader at once would get
-		// healthy machines marked as unreachable, and their leases would expire.
+		// The report came so soon after the answer that its worker has probably sent it
+		// without knowledge of the answer; it may be a late copy. If such reports counted,
+		// several copies that reach a new leader at once would get healthy machines marked
+		// as unreachable, and their leases would expire.
 	case r.Epoch >= m.answeredEpoch && !s.hasMissingStart(m, r):
 		m.reachability.missedDeliveries = 0
 	default:
@@ -64,10 +66,12 @@
 	return false
 }
 
-// markUnreachable stops giving m tasks and answers, so that its session certainly ends and
-// its tasks can run elsewhere. m counts as reachable again once it shows the epoch that
-// only commands from now on carry, the first time at once, and each further time after one
-// lease more than the time before.
+// markUnreachable marks m as unreachable: its new reports are refused, and it is given no
+// new tasks. Its lease is then no longer renewed and expires, so that its session ends and
+// its tasks can run elsewhere. The fence is raised, so that only what is sent from now on
+// carries the new epoch. m counts as reachable again when a report shows that epoch, but
+// not before earliestRecoveryAt: the first time there is no minimum wait, the second time
+// it is one lease, the third time two leases, and so on.
 func (s *State) markUnreachable(m *machine, why string) {
 	if m.reachability.unreachable {
 		return
@@ -92,11 +96,12 @@
 	}
 }
 
-// shouldReturnUnreachable says whether m should be returned: it is unreachable, it was first
-// found so more than three leases ago or has been found so more than twice, and most
-// machines report. The number of times counts because of machines that commands reach but
-// answers do not: they recover each time, and each of their sessions would end all tasks
-// that run for longer than a lease.
+// shouldReturnUnreachable says whether m should be returned: it is unreachable now, most
+// machines report, and either more than three leases have passed since it was first found
+// unreachable, even if it recovered in between, or it has been found unreachable more than
+// twice. The number of times counts because of machines that commands reach but answers do
+// not: they recover each time, but each of their leases expires, which ends all tasks that
+// run for longer than a lease.
 func (s *State) shouldReturnUnreachable(m *machine) bool {
 	return m.reachability.unreachable && (s.now-m.reachability.firstUnreachableAt > 3*s.cfg.Lease || m.reachability.unreachableCount > 2) && s.mostMachinesReport()
 }
--- a/internal/core/report_replies.go
+++ b/internal/core/report_replies.go
@@ -12,14 +12,15 @@
 
 // reportState is the leader's state about the reports that it has received.
 type reportState struct {
-	pendingReports []pendingReport // answered after the next dispatch round
+	pendingReports []pendingReport // answered by answerReports
 	lastReportAt   time.Duration   // when a report with new information last came
 }
 
 // pendingReport is a report that has not been answered yet. Its answer may wait for a
-// direct query that verifies the report, for the next dispatch round, or until the
-// unresponsive mark of its machine is out of the registry. From that mark, which is the
-// time of the last reply, a successor counts the machine's lease (registry.go).
+// direct query that verifies the report, for the next dispatch round, or until the registry
+// no longer marks its machine as unresponsive (registry.go). The mark holds the time of the
+// last reply, and a new leader counts the machine's lease from it. If the report were
+// answered while the mark is stored, a new leader would take the lease for expired too early.
 type pendingReport struct {
 	requestID  uint64
 	machine    *machine
@@ -40,13 +41,13 @@
 	s.renewLease(pending, s.ordersFor(m, pending.report))
 }
 
-// renewLease answers a report with 200, which renews its worker's lease. The answer
-// always carries a stop for each reported task whose job is final (done or cancelled), up to
-// maxOrders; the worker applies both the renewal and the stops, or neither. So a leader that
-// knows of a cancellation never renews the lease of a cancelled task without stopping it. In
-// an earlier version, answers to machines that had not shown the term's epoch yet lacked the
-// stops: several leaders in a row renewed leases without them, and cancelled tasks ran for
-// longer than cancel_s.
+// renewLease answers a report with 200, which renews its worker's lease. The answer carries
+// a stop for each reported task whose job is final (done or cancelled), ahead of all other
+// orders; the worker applies both the renewal and the stops, or neither. So a leader that
+// knows of a cancellation renews no lease without stopping the cancelled tasks, except for
+// those beyond maxOrders on one machine. In an earlier version, answers lacked the stops
+// until a report of the machine had shown an epoch of the term: several leaders in a row
+// renewed leases without them, and cancelled tasks ran for longer than cancel_s.
 func (s *State) renewLease(pending pendingReport, orders []model.Order) {
 	orders = s.withStops(pending.machine, pending.report, orders)
 	s.logLeaseRenewed(pending.machine, pending.report, len(orders))
@@ -82,8 +83,9 @@
 }
 
 // addStopsForPendingStarts adds stops for tasks of final jobs whose start may reach the
-// machine between its report and the answer. A start that arrives after the answer is
-// refused, because the answer carries a higher epoch.
+// machine between its report and the answer. If such a start was sent by a direct command
+// whose outcome is unknown, the fence of m is raised, unless that has happened since: the
+// answer must carry a higher epoch, so that a start that arrives after it is refused.
 func (s *State) addStopsForPendingStarts(m *machine, stops []model.Order) []model.Order {
 	var starting []*task
 	for _, t := range m.tasks {
@@ -132,9 +134,9 @@
 // maxOrders bounds the orders in one answer, so that the answer fits in a line of 64 KiB.
 const maxOrders = 400
 
-// ordersFor returns the orders for m in answer to its report r: none before m has shown the
-// term's epoch. They are repeated with every report until the reports show that they were
-// carried out.
+// ordersFor returns the orders for m in answer to its report r: none before m is reconciled,
+// that is, before one of its reports has shown an epoch of this term. Orders are repeated
+// with every report until the reports show that they were carried out.
 func (s *State) ordersFor(m *machine, r *model.Report) []model.Order {
 	orders := []model.Order{}
 	if !m.reconciled || m.session != r.Session {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -9,7 +9,8 @@
 // This file classifies workers' reports: a report with new information is applied; of a
 // stale one only completed tasks are recorded; a doubtful one is first verified by a direct
 // query, which is a command that asks the machine for its current report. Late copies of
-// reports can arrive at any time.
+// reports can arrive at any time. A report shows the highest epoch (commands.go) that its
+// worker has seen.
 
 // handleReport handles a report that a worker sent on its own.
 func (s *State) handleReport(event WorkerReport) {
@@ -190,12 +191,12 @@
 	s.applyReport(m, r, true)
 	s.checkDelivery(m, r)
 	if m.reachability.unreachable {
-		// Without an answer its session ends (markUnreachable).
+		// Without an answer with 200, its lease expires (markUnreachable).
 		s.refuseWorker(pending.requestID, "answers don't reach this machine")
 		return
 	}
 	if !m.registered && !m.reconciled && !m.commandInFlight && s.mayProbe() && m.endpoint != "" {
-		s.sendCommand(m, nil, nil) // a new machine gets tasks as soon as it shows the epoch
+		s.sendCommand(m, nil, nil) // a new machine gets tasks only once it has shown an epoch of this term
 	}
 	m.lastReplyAt = s.now
 	if !s.clearUnresponsiveMark(m) || s.dispatchNeeded {
--- a/internal/core/slow_machines.go
+++ b/internal/core/slow_machines.go
@@ -12,10 +12,11 @@
 // longer than other tasks of the same job, but they keep getting tasks, because they hold
 // the images.
 
-// slowRatio and slowSamples define a slow machine: slowSamples of its tasks took at least
-// slowRatio times the expected run time of their jobs. The last finished tasks count, and
-// running ones that already exceed that time. An expected run time is known once
-// slowSamples run times of the job are recorded.
+// slowRatio and slowSamples define a slow machine: it has at least slowSamples tasks whose
+// run took slowRatio times the expected run time of their jobs or longer. Finished tasks
+// count since the last one that took less than three quarters of that, and running ones if
+// they have already exceeded it. The expected run time of a job is known once slowSamples
+// run times are recorded; tasks of other jobs don't count.
 const (
 	slowRatio   = 2.0
 	slowSamples = 3
@@ -48,8 +49,9 @@
 	}
 }
 
-// compareRunTime counts a run of slowRatio or more as slow, and resets the count after a run
-// of less than three quarters of that. ratio is the run time divided by the expected run time.
+// compareRunTime counts a finished task as slow if ratio, its run time divided by the
+// expected one, is at least slowRatio. It resets the count if ratio is less than three
+// quarters of slowRatio, and leaves it in between.
 func (m *machine) compareRunTime(ratio float64) {
 	if ratio >= slowRatio {
 		m.slowRuns++
@@ -63,9 +65,8 @@
 	nextSlowScanAt time.Duration
 }
 
-// findSlowMachines marks machines as slow, once per second. Running tasks that already
-// exceed slowRatio times the expected time count like finished slow ones. Of a slow machine
-// it stops the tasks that should end sooner after a restart on another machine.
+// findSlowMachines looks for slow machines, once per second. It marks each that it finds,
+// and stops those of its tasks that should end sooner after a restart on another machine.
 func (s *State) findSlowMachines() {
 	if s.now < s.nextSlowScanAt {
 		return
@@ -94,9 +95,11 @@
 	}
 }
 
-// moveOffSlowMachine stops t if a restart on another machine should take less time than
-// the rest of its run on this one, or if it does not run yet. A task with checkpoints is
-// always stopped, with time to save, and a service never.
+// moveOffSlowMachine stops t if it does not run yet, or if the rest of its run on this
+// machine should take longer than a restart on another one. The whole run here is taken to
+// last four times the expected run time, and a restart a quarter longer than that time. A
+// task with checkpoints is always stopped, with 5/4 of the time that a checkpoint takes; a
+// service never is.
 func (s *State) moveOffSlowMachine(t *task) {
 	if t.stopping || t.job.Kind == model.KindService {
 		return
@@ -106,7 +109,7 @@
 		return
 	}
 	expected, _ := t.job.expectedRunTime()
-	estimatedRun := time.Duration(2 * slowRatio * float64(expected)) // assume twice the limit for slow runs
+	estimatedRun := time.Duration(2 * slowRatio * float64(expected)) // twice the limit for slow runs
 	if t.state != model.TaskRunning || estimatedRun-(s.now-t.runningSince) > expected+expected/4 {
 		s.stopTask(t, 0)
 	}
--- a/internal/core/task_reports.go
+++ b/internal/core/task_reports.go
@@ -11,7 +11,8 @@
 // This file applies the contents of a report to the machine and its tasks.
 
 // applyReport applies a report, which the worker sent on its own (selfSent) or as the
-// answer to a direct command. The caller has checked that it is not stale.
+// answer to a direct command. The caller has checked that it is newer than what the machine
+// has shown in this term.
 func (s *State) applyReport(m *machine, r *model.Report, selfSent bool) {
 	if r.Session > m.session {
 		s.handleNewSession(m, r)
@@ -28,8 +29,8 @@
 	}
 	s.handleReclaimNotice(m, r)
 	if !m.reconciled {
-		// The report may be a late copy from before this term. Only the completed tasks
-		// in it are certain.
+		// The machine's lease has expired, or the report may be a late copy from before this
+		// term or from before a restart. Only the completed tasks in it are certain.
 		s.recordCompletions(r)
 		return
 	}
@@ -64,7 +65,8 @@
 			s.unbind(t, "new session")
 		}
 	}
-	// The new session has a new lease, which began before now.
+	// The worker counts the lease of the new session from the start of that session or the
+	// sending of a report, so the lease ends no later than counted from now.
 	m.leaseExpired, m.lastReplyAt = false, s.now
 	m.session, m.answeredSeq = r.Session, 0
 }
@@ -91,6 +93,8 @@
 	startOutcomeKnown := t.startSent && (t.unconfirmedStartEpoch == 0 || r.Epoch > t.unconfirmedStartEpoch) && (t.startSentSeq == 0 || selfSent && r.Seq > t.startSentSeq)
 	switch {
 	case !startOutcomeKnown && t.startSent:
+		// The low bits of a start's epoch are the fence under which it was sent: the fence is
+		// raised unless it has been raised since.
 		if t.stopping && t.unconfirmedStartEpoch != 0 && m.fence <= t.unconfirmedStartEpoch&(1<<fenceBits-1) {
 			s.raiseFence(m) // the task is unbound once a report shows the higher epoch
 		}
@@ -190,9 +194,10 @@
 	}
 }
 
-// backoff is how long to wait after n errors in a row. It doubles with each error, up to a
-// lease: otherwise, where report intervals are long, a few tasks of one job that fail
-// together on one bad machine would keep the whole job off all machines for minutes.
+// backoff is how long to wait after n errors in a row: one report interval after the first,
+// twice as long after each further one, up to 32 report intervals, but never longer than a
+// lease. Without that limit, where report intervals are long, a few tasks of one job that
+// fail together on one bad machine would keep the whole job off all machines for minutes.
 func (s *State) backoff(n int) time.Duration {
 	return min(s.cfg.ReportInterval<<min(n-1, 5), s.cfg.Lease)
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -16,7 +16,7 @@
 // assessZones finds the unreachable zones: those with at least three machines of which
 // fewer than half report. No machines are rented in such a zone. The capacity of its
 // machines is not counted on, but they are kept (disposition names the exceptions), because
-// they are probably only cut off. All this holds for maxZoneOutageLeases at most.
+// they are probably only cut off. All this holds for maxZoneOutageLeases leases at most.
 func (s *State) assessZones() map[string]zoneState {
 	zones := map[string]zoneState{}
 	for _, m := range s.machinesByName {
