--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -111,6 +111,7 @@
 		return
 	}
 	s.learnCancellations(from, m.Counts)
+	// The clocks drift: the grantor's process has run for at least this long.
 	age := m.Age - time.Duration(float64(m.Age)*2*ClockDrift)
 	s.leadership.RecordReadLease(from, m.Sent, s.now-age, m.Loaded)
 }
--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -19,7 +19,7 @@
 	rentalUnconfirmed bool          // a rental had no answer: its machines may appear unannounced
 	returnInFlight    bool
 	// refusedOffers holds the offers for which the cloud had no capacity. Each is requested
-	// again after a pause that grows.
+	// again after a pause (recordRefusal).
 	refusedOffers        map[offerKey]*refusal
 	returnedAt           map[string]time.Duration // when each machine was returned, by host
 	zones                map[string]zoneState     // updated once per second, unless a return is under way
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -106,7 +106,7 @@
 }
 
 // wasReclaimed says whether the cloud has reclaimed m, as its notice announced: that was
-// due a second ago, and m has not reported since it was due. Such a machine is returned by
+// due at least a second ago, and m has not reported since it was due. Such a machine is returned by
 // name, which makes certain that it is gone. Then its tasks need not wait until its lease
 // expires, nor jobs from before the term until it reports.
 func (s *State) wasReclaimed(m *machine) bool {
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -47,18 +47,19 @@
 	return limit
 }
 
-// maxRentPauseDoublings is how often the pause doubles between rentals for a gang for which
-// the cloud has too few machines: from one lease to 2^6 leases.
+// maxRentPauseDoublings is how often the pause doubles between rentals for a gang that can't
+// get all its machines: from one lease to 2^6 leases.
 const maxRentPauseDoublings = 6
 
-// postponeRentals handles the gang of the job id, for which the cloud does not have all
-// machines that it needs. The machines that were rented for it stay idle and are returned.
-// So further rentals wait for a pause that doubles; otherwise such machines would be rented
-// and paid for again and again as long as the gang waits.
+// postponeRentals handles the gang of the job id, for which not all machines that it needs
+// can be rented now: the cloud has too few, or the operators' limit is reached. The machines
+// that were rented for it stay idle and are returned. So further rentals wait for a pause
+// that doubles; otherwise such machines would be rented and paid for again and again as long
+// as the gang waits.
 func (s *State) postponeRentals(id string) {
 	j := s.active[id]
 	if j == nil || !j.gang.machinesRented {
-		return // no machines were rented, so there is no cost, and the cloud may have some soon
+		return // no machines were rented, so there is no cost, and enough may be available soon
 	}
 	j.gang.machinesRented = false
 	j.gang.nextRentalAt = s.now + s.cfg.Lease<<min(j.gang.rentPauses, maxRentPauseDoublings)
--- a/internal/core/safeguards_test.go
+++ b/internal/core/safeguards_test.go
@@ -341,8 +341,8 @@
 
 // TestFinalRefusalsNeedLinearizableRead checks that a controller whose replica lags does not
 // finally refuse a job that another controller has accepted. Without a linearizable read, a
-// job that a former version has accepted would be answered with 400 once the limits are
-// lower.
+// job that a former version has accepted would be answered with 400 or 422 once the limits
+// are lower.
 func TestFinalRefusalsNeedLinearizableRead(t *testing.T) {
 	for _, row := range []struct {
 		name   string
