--- a/internal/core/cloud.go
+++ b/internal/core/cloud.go
@@ -19,16 +19,16 @@
 	rentalUnconfirmed bool          // a rental had no answer: its machines may appear unannounced
 	returnInFlight    bool
 	// refusedOffers holds the offers for which the cloud had no capacity. Each is requested
-	// again after a pause that grows.
+	// again after a pause (recordRefusal).
 	refusedOffers        map[offerKey]*refusal
 	returnedAt           map[string]time.Duration // when each machine was returned, by host
 	zones                map[string]zoneState     // updated once per second, unless a return is under way
 	zoneUnreachableSince map[string]time.Duration // since when a zone has been unreachable
 	zoneRecoveredAt      map[string]time.Duration // when a zone last became reachable again
 	limitLogged          bool                     // the log says that the limit on machines was reached
-	// reachableMachines is the number of machines outside unreachable zones, and
-	// unaccountedMachines the number of those that may run tasks that this leader has not
-	// seen (isUnaccounted).
+	// reachableMachines is the number of machines outside unreachable zones.
+	// unaccountedMachines is how many of these may run tasks that this leader has not seen
+	// (isUnaccounted); takeoverState.unaccountedFor lists such machines of all zones.
 	reachableMachines   int
 	unaccountedMachines int
 }
