--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -106,7 +106,8 @@
 }
 
 // ClockDrift bounds how far the monotonic clocks of two machines drift apart,
-// relative to the time measured (PROTOCOL).
+// relative to the time measured (from the operators' protocol specification, here
+// PROTOCOL).
 const ClockDrift = 0.0005
 
 // Event is an input of State.Step: Tick, Submit, Poll, Cancel, HealthCheck,
--- a/internal/core/views.go
+++ b/internal/core/views.go
@@ -20,7 +20,7 @@
 }
 
 // maxReportGap returns how long a machine may go without a report before it counts as
-// unresponsive.
+// silent.
 func (s *State) maxReportGap() time.Duration { return 2*s.cfg.ReportInterval + s.cfg.Lease/8 }
 
 // refreshView updates the free resources, running tasks and fetches in m's view if the
