--- a/cmd/mulleinfall/main.go
+++ b/cmd/mulleinfall/main.go
@@ -87,7 +87,7 @@
 	runtime.GOMAXPROCS(max(1, int(limits.CoreShare+0.5)))
 	var incarnation [8]byte // random: tells this run of the process from earlier ones
 	if _, err := rand.Read(incarnation[:]); err != nil {
-		return fmt.Errorf("random seed: %w", err)
+		return fmt.Errorf("generate the incarnation number: %w", err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/core/cancellation_watch.go
+++ b/internal/core/cancellation_watch.go
@@ -15,8 +15,9 @@
 const (
 	// maxWatchedCancellations bounds the records kept for the log.
 	maxWatchedCancellations = 2000
-	// cancellationWarningShare is the share of cancel_s after which the log warns of
-	// tasks that still exist.
+	// cancellationWarningShare is the share of Config.CancelWithin (cancel_s, the time
+	// allowed for ending a cancelled job's tasks) after which the log warns of tasks
+	// that still exist.
 	cancellationWarningShare = 0.5
 )
 
@@ -152,9 +153,10 @@
 		"stops", oldest.stopCount, "term", s.leadership.Term)
 }
 
-// endCancellationWatch removes the record of a cancellation whose tasks are gone as far as
-// this controller knows. A leader that has accounted for all machines can be certain of
-// that, and logs it if stops were sent. Any other controller removes the record once
+// endCancellationWatch removes the record of a cancellation once it is no longer needed. It
+// is called if this controller knows of no task of the job, or does not lead. A leader that
+// has accounted for all machines can be certain that the tasks are gone: it removes the
+// record, and logs the end if stops were sent. Otherwise the record is removed once
 // cancel_s has passed.
 func (s *State) endCancellationWatch(id string, record *cancellationRecord) {
 	knownFor := s.now - record.job.finalSeenAt
@@ -170,8 +172,9 @@
 	}
 }
 
-// jobsWithOrphanedTasks returns the ids of the jobs that have orphaned tasks on any machine:
-// tasks that it reports although this leader has not bound them to it.
+// jobsWithOrphanedTasks returns the ids of the jobs that have orphaned tasks on any machine.
+// A task is orphaned if a machine reports it although this leader has not bound it to that
+// machine.
 func (s *State) jobsWithOrphanedTasks() map[string]bool {
 	jobs := map[string]bool{}
 	for _, m := range s.machinesWithOrphans {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -134,7 +134,9 @@
 		delete(s.active, id)
 		s.log(slog.LevelInfo, "job finished", "job", id, "phase", value.Phase)
 		if value.Phase == model.PhaseAborted && item.ModRevision > s.termModRevision {
-			s.unacknowledged[id] = item.ModRevision // the leader may not know of it yet
+			// Before it acted, the leader read all changes up to the revision of its
+			// election, but it may not know of this later one.
+			s.unacknowledged[id] = item.ModRevision
 		}
 		if value.Phase == model.PhaseAborted {
 			s.logCancellationLearnt(j, item.ModRevision)
@@ -196,9 +198,10 @@
 	j.chunk(index / chunkTasks).dirty = true
 }
 
-// finishJob writes phase "done" to the state service and removes as many of the job's
-// bitmaps as fit into the same transaction; others stay there. If the job is cancelled at
-// the same time, the precondition on the job's key decides whether it is done or cancelled.
+// finishJob writes phase "done" to the state service. The same transaction removes as many
+// stored parts of the job's bitmap as fit into it; the rest stay in the state service. If
+// the job is cancelled at the same time, the first write wins, and the other fails its
+// precondition on the job's key.
 func (s *State) finishJob(j *job) {
 	if j.writingDone || !s.IsLeader() {
 		return
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -34,7 +34,8 @@
 	case s.isWriteQueueFull():
 		s.replyRetryLater(from, "too many submissions under way")
 	case !s.loaded || s.sinceStoreContact() > 2*s.storeContactTimeout():
-		// With no such peer, the write is still tried until the second timeout.
+		// If no peer can take the request, the write is still tried (default case)
+		// until the last contact is more than two timeouts ago.
 		s.replyRetryLater(from, "the state service does not answer")
 	default:
 		s.storeJob(from, spec.ID, value, forward)
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,12 +1,17 @@
 // Package sched decides which waiting task goes to which machine
 // (docs/design.md). Jobs wait in one global queue by rank, then by arrival, and each
-// machine has a local queue. A task preferably goes to a free machine that
-// already has its image (a hit), even ahead of earlier tasks, which are skipped
-// then. A job that has been skipped as often as the skip limit allows takes any free
-// machine, or has one reserved. If no free machine has the image, a task below the
-// limit waits in the local queue of a busy machine that has or is fetching it, or has
-// the image fetched to a free one, whichever is sooner. The package does no I/O and
-// reads no clock: callers pass the current time.
+// machine has a local queue. Below, a machine is free if it is not reserved and has
+// enough free capacity for the task.
+//
+// A task preferably goes to a free machine that already has its image (a hit), even while
+// earlier jobs wait; this skips those of the same rank. The tasks of a job that has been
+// skipped as often as the skip limit allows go to any free machine. If there is none, one
+// machine is reserved for the job. If none of the free machines has the image and the job
+// is below the limit, the task either waits in the local queue of a machine that has or
+// is fetching the image but lacks capacity, or goes to a free machine, which fetches it,
+// whichever is sooner.
+//
+// The package does no I/O and reads no clock: callers pass the current time.
 package sched
 
 import "time"
@@ -23,19 +28,21 @@
 	Estimate          time.Duration // expected run time of a task; without meaning for services
 	IsService         bool          // runs until it is cancelled
 	IsGang            bool          // starts only when all its tasks fit now
-	OneZone           bool          // all tasks must be in one zone: each zone is tried for a gang, and Env.Allowed checks it
+	OneZone           bool          // all tasks must be in one zone: Env.Allowed enforces this, and capacity for a gang is looked for zone by zone
 	MayReserve        bool          // a gang for which machines may be reserved
-	RestartMissesGoal bool          // a task that has to restart would miss the goal of its class
+	RestartMissesGoal bool          // a task that restarts halfway would miss the goal of its job's class, so machines that the cloud can't reclaim are preferred
 	Waiting           int           // tasks in the global queue
-	Skips             int           // how many tasks of later jobs of its rank were placed while it waited
+	Skips             int           // how often it was skipped, see Config.SkipLimit; the caller may raise it
 	Ref               any           // the caller's own record of the job
 	reservationTried  bool          // this call of RunRound has tried to reserve a machine for it
 }
 
 // Config holds the operator's settings for dispatch.
 type Config struct {
-	// SkipLimit is how many later tasks may be placed ahead of a waiting job before
-	// its tasks take any free machine, or have a machine reserved.
+	// SkipLimit is the number of skips (Job.Skips) from which a job's tasks go to any free
+	// machine, or have one reserved if there is none. A waiting job is skipped when a task
+	// of a later job of its rank is placed from the global queue. Gangs neither skip nor
+	// are skipped, and a job held back by its team's limit is not skipped.
 	SkipLimit int
 }
 
@@ -66,5 +73,5 @@
 	PathLocalQueue Path = "local"     // from the machine's local queue
 	PathSkipLimit  Path = "limit"     // without the image, for which a job at its skip limit doesn't wait
 	PathGang       Path = "gang"      // together with all other waiting tasks of its gang
-	PathPassMiss   Path = "pass_miss" // a fetch; the earlier jobs that are skipped fit nowhere now
+	PathPassMiss   Path = "pass_miss" // the machine fetches the image; earlier jobs are skipped, which found no machine in this round
 )
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -23,7 +23,7 @@
 }
 
 // maxResponseBytes bounds a response. A page of keys has at most 512 KiB, but a response
-// to a watch may contain many changes.
+// to a watch may contain many changes. A longer response is cut off, so it can't be decoded.
 const maxResponseBytes = 16 << 20
 
 // wireItem is a key of a list, or a change of a watch, as the state service sends it. The
